--- a/src/replicas/health.rs
+++ b/src/replicas/health.rs
@@ -54,7 +54,7 @@
 
 /// Answers of one endpoint to one entry, since it began to fail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Answers {
+pub struct AnswerCounts {
     /// Requests broken off or failed, and connections refused.
     pub failures: u32,
     /// Requests answered.
@@ -70,7 +70,7 @@
 }
 
 impl Recent {
-    fn add(&mut self, now: TimeMs, more: Answers) {
+    fn add(&mut self, now: TimeMs, more: AnswerCounts) {
         *self = self.faded(now);
         self.failures += f64::from(more.failures);
         self.served += f64::from(more.served);
@@ -92,9 +92,9 @@
 pub struct Health {
     /// Tells this entry's pauses apart from those of the others.
     seed: u64,
-    own: Answers,
+    own: AnswerCounts,
     own_recent: Recent,
-    told: HashMap<u64, (Answers, TimeMs)>,
+    told: HashMap<u64, (AnswerCounts, TimeMs)>,
     recent: Recent,
     /// Failures since the last answer, of all entries.
     in_a_row: u32,
@@ -113,8 +113,8 @@
     }
 
     /// A request was answered.
-    pub fn served(&mut self, now: TimeMs) {
-        let one = Answers { failures: 0, served: 1 };
+    pub fn record_success(&mut self, now: TimeMs) {
+        let one = AnswerCounts { failures: 0, served: 1 };
         self.own.served += 1;
         self.own_recent.add(now, one);
         self.recent.add(now, one);
@@ -123,18 +123,18 @@
     }
 
     /// A request was broken off or failed, or the endpoint could not be reached.
-    pub fn failed(&mut self, now: TimeMs) {
-        self.count_failures(now, Answers { failures: 1, served: 0 });
+    pub fn record_failure(&mut self, now: TimeMs) {
+        self.count_failures(now, AnswerCounts { failures: 1, served: 0 });
         self.own.failures += 1;
     }
 
     /// Another entry, in the life `life`, had these answers from it.
-    pub fn told(&mut self, now: TimeMs, life: u64, answers: Answers) {
+    pub fn told(&mut self, now: TimeMs, life: u64, answers: AnswerCounts) {
         let before = match self.told.insert(life, (answers, now)) {
             Some((before, at)) if now.since(at) < EARLIER_COUNT_MS => before,
-            _ => Answers::default(),
+            _ => AnswerCounts::default(),
         };
-        let more = Answers {
+        let more = AnswerCounts {
             failures: answers.failures.saturating_sub(before.failures),
             served: answers.served.saturating_sub(before.served),
         };
@@ -148,14 +148,14 @@
     }
 
     /// Another entry is heard for the first time: when it had its answers is not known.
-    pub fn meet(&mut self, now: TimeMs, life: u64, answers: Answers) {
+    pub fn meet(&mut self, now: TimeMs, life: u64, answers: AnswerCounts) {
         self.told.insert(life, (answers, now));
     }
 
     /// What the other entries should hear: this entry's answers, while anybody's have failed of late.
-    pub fn to_tell(&self, now: TimeMs) -> Option<Answers> {
+    pub fn to_tell(&self, now: TimeMs) -> Option<AnswerCounts> {
         let recent = self.failed_at.is_some_and(|at| now.since(at) < TOLD_FOR_MS);
-        (recent && self.own != Answers::default()).then_some(self.own)
+        (recent && self.own != AnswerCounts::default()).then_some(self.own)
     }
 
     /// Whether it is left out.
@@ -168,10 +168,10 @@
         self.trial_left > 0
     }
 
-    fn count_failures(&mut self, now: TimeMs, more: Answers) {
+    fn count_failures(&mut self, now: TimeMs, more: AnswerCounts) {
         if self.failed_at.is_none_or(|at| now.since(at) >= COUNTED_ANEW_MS) {
             let served = self.own_recent.faded(now).served.round() as u32;
-            self.own = Answers { failures: 0, served };
+            self.own = AnswerCounts { failures: 0, served };
         }
         self.failed_at = Some(now);
         self.recent.add(now, more);
--- a/src/replicas/mod.rs
+++ b/src/replicas/mod.rs
@@ -1,21 +1,21 @@
 //! The endpoints of each service as the platform lists them, and the choice among them.
 
-mod announced;
+mod announcement;
 mod cold;
 mod directory;
 mod evacuations;
 mod health;
 mod placement;
-mod places;
 mod rendezvous;
+mod topology;
 
-pub use announced::{Announced, Change};
-pub use cold::{ColdRule, ColdShare};
+pub use announcement::{Announcement, EndpointChange};
+pub use cold::{ColdLimits, ColdShare};
 pub use directory::{Directory, Replica, ReplicaKey};
 pub use evacuations::Evacuations;
-pub use health::{Answers, Health};
-pub use placement::{Placement, Want};
-pub use places::Places;
+pub use health::{AnswerCounts, Health};
+pub use placement::{Placement, PlacementRequest};
+pub use topology::Topology;
 
 #[cfg(test)]
 mod tests;
--- a/src/replicas/placement.rs
+++ b/src/replicas/placement.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use super::rendezvous::rendezvous;
-use super::{Directory, Places, Replica, ReplicaKey};
+use super::{Directory, Replica, ReplicaKey, Topology};
 use crate::catalog::Regions;
 use crate::mechanisms::{Mechanism, Mechanisms};
 use crate::prelude::*;
@@ -43,7 +43,7 @@
 
 /// What is known of a request that has to be placed.
 #[value]
-pub struct Want {
+pub struct PlacementRequest {
     /// The service.
     pub service: Arc<str>,
     /// Parts of its prompt in order, as hashes, with their tokens.
@@ -53,7 +53,7 @@
     /// Where it may run.
     pub regions: Regions,
     /// Endpoints that have refused or failed it.
-    pub not: Vec<ReplicaKey>,
+    pub excluded: Vec<ReplicaKey>,
     /// Whether an endpoint that is ejected for its failures is better than none: so it is for what may
     /// run again, and would be refused else.
     pub accepts_ejected: bool,
@@ -69,7 +69,7 @@
 /// Chooses endpoints, and remembers which have read which parts of prompts.
 #[derive(Debug, Default)]
 pub struct Placement {
-    places: Places,
+    topology: Topology,
     mechanisms: Mechanisms,
     cached: HashMap<(ReplicaKey, u64), Cached>,
     turn: u64,
@@ -77,8 +77,8 @@
 
 impl Placement {
     /// Chooses for an entry at a place.
-    pub fn open(places: Places, mechanisms: Mechanisms) -> Placement {
-        Placement { places, mechanisms, ..Placement::default() }
+    pub fn open(topology: Topology, mechanisms: Mechanisms) -> Placement {
+        Placement { topology, mechanisms, ..Placement::default() }
     }
 
     /// The best usable endpoint, if there is one. `connected` tells whether a connection is kept to an
@@ -87,21 +87,21 @@
         &mut self,
         now: TimeMs,
         directory: &Directory,
-        want: &Want,
+        want: &PlacementRequest,
         connected: impl Fn(SocketAddr) -> bool,
     ) -> Option<ReplicaKey> {
         self.turn = self.turn.wrapping_add(1);
-        let untried = |key: &ReplicaKey| !want.not.contains(key);
+        let untried = |key: &ReplicaKey| !want.excluded.contains(key);
         let (mut all, mut usable) = (0, Vec::new());
         let mut ejected = Vec::new();
         for (key, replica) in directory.of_service(&want.service) {
             if !directory.may_send(now, key) || !self.is_allowed(want, replica) {
                 continue;
             }
-            all += usize::from(!replica.announced.leaving);
+            all += usize::from(!replica.announcement.draining);
             match replica.usable(now) {
                 true => usable.push((key, replica)),
-                false if !replica.announced.leaving => ejected.push((key, replica)),
+                false if !replica.announcement.draining => ejected.push((key, replica)),
                 false => {}
             }
         }
@@ -115,16 +115,16 @@
         }
         let home = want.object.and_then(|object| home_of(object, &usable));
         let costs = usable.into_iter().enumerate().map(|(at, (key, replica))| {
-            let slots = f64::from(replica.announced.slots.max(1));
+            let slots = f64::from(replica.announcement.slots.max(1));
             let load = f64::from(replica.load());
             let wait_ms = (load + 1.0 - slots).max(0.0) * WAIT_EACH_MS;
             let batch_ms = (load / slots).min(1.0) * FULL_BATCH_MS;
-            let near = replica.announced.failure_domain == self.places.domain
-                || !self.mechanisms.has(Mechanism::Nearness);
+            let near = replica.announcement.failure_domain == self.topology.domain
+                || !self.mechanisms.is_enabled(Mechanism::Locality);
             let way_ms = if near { 0.0 } else { OTHER_DOMAIN_MS };
             let read_ms = self.unread_tokens(now, key, &want.parts) as f64 / PREFILL_TOKENS_PER_MS;
-            let is_open = connected(replica.announced.address)
-                || !self.mechanisms.has(Mechanism::KeptConnections);
+            let is_open = connected(replica.announcement.address)
+                || !self.mechanisms.is_enabled(Mechanism::KeptConnections);
             let open_ms = if is_open { 0.0 } else { NEW_CONNECTION_MS };
             let away_ms = if home.is_none_or(|home| home == key) { 0.0 } else { OBJECT_AWAY_MS };
             let cost_ms = wait_ms + batch_ms + way_ms + read_ms + open_ms + away_ms;
@@ -137,8 +137,8 @@
     }
 
     /// Whether an endpoint is in a region in which the request may run.
-    fn is_allowed(&self, want: &Want, replica: &Replica) -> bool {
-        let region = || self.places.region_of(&replica.announced.failure_domain);
+    fn is_allowed(&self, want: &PlacementRequest, replica: &Replica) -> bool {
+        let region = || self.topology.region_of(&replica.announcement.failure_domain);
         want.regions.are_all() || want.regions.allow(region())
     }
 
@@ -161,7 +161,7 @@
 
     /// An endpoint has read these parts.
     pub fn read(&mut self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) {
-        if !self.mechanisms.has(Mechanism::Affinity) {
+        if !self.mechanisms.is_enabled(Mechanism::Affinity) {
             return;
         }
         for (part, tokens) in parts {
--- a/src/replicas/tests.rs
+++ b/src/replicas/tests.rs
@@ -2,45 +2,45 @@
 mod directory;
 mod health;
 mod placement;
-mod places;
+mod topology;
 
 use super::*;
 use crate::catalog::Regions;
 use crate::prelude::*;
 
-fn announced(service: &str, port: u16, born_ms: u64, sequence: u64) -> Announced {
-    Announced {
+fn announcement(service: &str, port: u16, started_at_ms: u64, sequence: u64) -> Announcement {
+    Announcement {
         service: service.into(),
         address: ([127, 0, 0, 1], port).into(),
         failure_domain: "d".into(),
         slots: 2,
-        leaving: false,
+        draining: false,
         cold_left_ms: 0,
-        born_ms,
+        started_at_ms,
         sequence,
     }
 }
 
-fn at(domain: &str) -> Places {
+fn at(domain: &str) -> Topology {
     let regions = [("d", "r1"), ("e", "r2")].map(|(domain, region)| (domain.into(), region.into()));
-    Places { domain: domain.into(), region: "r1".into(), regions: regions.into() }
+    Topology { domain: domain.into(), region: "r1".into(), regions: regions.into() }
 }
 
-fn with(entries: &[(&str, Announced)]) -> Directory {
+fn with(entries: &[(&str, Announcement)]) -> Directory {
     let mut directory = Directory::default();
     for (id, entry) in entries {
-        directory.apply(TimeMs(0), Change::Announced((*id).into(), entry.clone()));
+        directory.apply(TimeMs(0), EndpointChange::Announcement((*id).into(), entry.clone()));
     }
     directory
 }
 
-fn want(parts: &[(u64, u64)]) -> Want {
-    Want {
+fn want(parts: &[(u64, u64)]) -> PlacementRequest {
+    PlacementRequest {
         service: "s".into(),
         parts: parts.to_vec(),
         object: None,
         regions: Regions::default(),
-        not: vec![],
+        excluded: vec![],
         accepts_ejected: false,
     }
 }
--- a/src/replicas/tests/cold.rs
+++ b/src/replicas/tests/cold.rs
@@ -5,7 +5,7 @@
 use crate::mechanisms::Mechanisms;
 
 /// What each of `entries` entries may send to one endpoint within a window.
-fn shares(entries: u64, rule: &ColdRule) -> Vec<u32> {
+fn shares(entries: u64, rule: &ColdLimits) -> Vec<u32> {
     let name = |number: u64| Digest::of(&[&number.to_be_bytes()]).prefix();
     let all: Vec<u64> = (0..entries).map(name).collect();
     let share = |own: &u64| {
@@ -16,8 +16,12 @@
     all.iter().map(share).collect()
 }
 
-fn bears(per_s: f64) -> ColdRule {
-    ColdRule { start_ms: 3_000, per_s, bound_per_s: per_s * 1.5 + 5.0 }
+fn bears(requests_per_s: f64) -> ColdLimits {
+    ColdLimits {
+        duration_ms: 3_000,
+        requests_per_s,
+        max_requests_per_s: requests_per_s * 1.5 + 5.0,
+    }
 }
 
 // Endpoints come back cold, and all entries find them idle at the same moment: together they sent more
@@ -27,11 +31,14 @@
 #[test_case(26; "tens")]
 #[test_case(300; "hundreds, each with less than one request a second")]
 fn a_cold_endpoint_gets_no_more_than_it_bears(entries: u64) {
-    for per_s in [0.5, 1.0, 3.0, 12.0, 33.0, 400.0] {
-        let rule = bears(per_s);
+    for requests_per_s in [0.5, 1.0, 3.0, 12.0, 33.0, 400.0] {
+        let rule = bears(requests_per_s);
         let sum = f64::from(shares(entries, &rule).iter().sum::<u32>());
-        assert!(sum >= 1.0, "{per_s}: it is never used again");
-        assert!(2.0 * sum <= rule.bound_per_s, "{per_s}: {sum}, with two views at once");
+        assert!(sum >= 1.0, "{requests_per_s}: it is never used again");
+        assert!(
+            2.0 * sum <= rule.max_requests_per_s,
+            "{requests_per_s}: {sum}, with two views at once"
+        );
     }
 }
 
@@ -48,10 +55,10 @@
 
 /// A directory of one cold endpoint and one warm one, with this entry alone.
 fn cold_and_warm() -> (Directory, ReplicaKey, ReplicaKey) {
-    let cold = Announced { cold_left_ms: 3_000, ..announced("s", 1, 5, 9) };
-    let mut directory = with(&[("r", cold), ("q", announced("s", 2, 5, 9))]);
-    directory.declare_cold_rules([("s".into(), bears(33.0))].into());
-    directory.know_entries(TimeMs(2_000), vec![]);
+    let cold = Announcement { cold_left_ms: 3_000, ..announcement("s", 1, 5, 9) };
+    let mut directory = with(&[("r", cold), ("q", announcement("s", 2, 5, 9))]);
+    directory.set_cold_limits([("s".into(), bears(33.0))].into());
+    directory.update_entries(TimeMs(2_000), vec![]);
     let (cold, warm) = (directory.find("r"), directory.find("q"));
     (directory, cold.expect("known"), warm.expect("known"))
 }
@@ -61,14 +68,14 @@
 fn a_cold_endpoint_is_passed_over_once_its_share_is_used() {
     let (mut directory, cold, warm) = cold_and_warm();
     let mut placement = Placement::open(at("d"), Mechanisms::default());
-    (0..40).for_each(|_| directory.sent(TimeMs(0), warm));
-    let mut sent = 0;
+    (0..40).for_each(|_| directory.record_sent(TimeMs(0), warm));
+    let mut record_sent = 0;
     while placement.choose(TimeMs(2_000), &directory, &want(&[]), |_| true) == Some(cold) {
-        directory.sent(TimeMs(2_000), cold);
-        directory.over(cold);
-        sent += 1;
+        directory.record_sent(TimeMs(2_000), cold);
+        directory.record_finished(cold);
+        record_sent += 1;
     }
-    assert_eq!(sent, 5);
+    assert_eq!(record_sent, 5);
     assert!(!directory.may_send(TimeMs(2_900), cold));
     assert!(directory.may_send(TimeMs(3_200), cold), "the window has gone by; it is warm as well");
 }
@@ -78,11 +85,11 @@
 #[test]
 fn an_endpoint_that_may_be_cold_counts_as_cold() {
     let (mut directory, _, warm) = cold_and_warm();
-    directory.evacuate(TimeMs(10_000), 1, domains(&["d"]));
-    directory.evacuate(TimeMs(15_000), 2, domains(&[]));
+    directory.update_evacuations(TimeMs(10_000), 1, domains(&["d"]));
+    directory.update_evacuations(TimeMs(15_000), 2, domains(&[]));
     assert!(directory.get(warm).expect("known").is_cold(TimeMs(17_900)));
     assert!(!directory.get(warm).expect("known").is_cold(TimeMs(18_100)));
-    directory.may_be_cold(TimeMs(20_000), warm);
+    directory.assume_cold(TimeMs(20_000), warm);
     assert!(directory.get(warm).expect("known").is_cold(TimeMs(22_900)));
 }
 
@@ -90,9 +97,9 @@
 #[test]
 fn what_a_new_life_got_before_it_was_known_counts() {
     let (mut directory, _, warm) = cold_and_warm();
-    (0..9).for_each(|_| directory.sent(TimeMs(9_900), warm));
-    let anew = Announced { cold_left_ms: 3_000, ..announced("s", 2, 6, 0) };
-    directory.apply(TimeMs(10_000), Change::Announced("q".into(), anew));
+    (0..9).for_each(|_| directory.record_sent(TimeMs(9_900), warm));
+    let anew = Announcement { cold_left_ms: 3_000, ..announcement("s", 2, 6, 0) };
+    directory.apply(TimeMs(10_000), EndpointChange::Announcement("q".into(), anew));
     let anew = directory.find("q").expect("known");
     assert!(!directory.may_send(TimeMs(10_000), anew));
 }
@@ -105,11 +112,11 @@
         known in proptest::collection::vec(any::<u64>(), 0..40),
         own: u64,
         endpoint: u64,
-        per_s in 0.1_f64..500.0,
+        requests_per_s in 0.1_f64..500.0,
     ) {
-        let rule = bears(per_s);
+        let rule = bears(requests_per_s);
         let mut share = ColdShare::open(own);
         share.know(2_000, known);
-        prop_assert!(share.of(endpoint, &rule) <= (per_s / 5.0).max(1.0) as u32);
+        prop_assert!(share.of(endpoint, &rule) <= (requests_per_s / 5.0).max(1.0) as u32);
     }
 }
--- a/src/replicas/tests/health.rs
+++ b/src/replicas/tests/health.rs
@@ -8,7 +8,7 @@
     let mut health = Health::default();
     (0..30).for_each(|life| {
         let failures = u32::from(life % 5 < 2);
-        health.told(TimeMs(100 + life), life, Answers { failures, served: 1 - failures });
+        health.told(TimeMs(100 + life), life, AnswerCounts { failures, served: 1 - failures });
     });
     assert!(health.is_ejected(TimeMs(200)));
     assert!(!health.is_ejected(TimeMs(1_300)));
@@ -20,8 +20,8 @@
     for request in 0..1_000_u64 {
         let now = TimeMs(request * 50);
         match request % 20 {
-            7 => health.failed(now),
-            _ => health.served(now),
+            7 => health.record_failure(now),
+            _ => health.record_success(now),
         }
         assert!(!health.is_ejected(now), "{request}");
     }
@@ -30,10 +30,10 @@
 #[test]
 fn a_failed_trial_leaves_an_endpoint_out_for_longer() {
     let mut health = Health::default();
-    (0..3).for_each(|_| health.failed(TimeMs(0)));
+    (0..3).for_each(|_| health.record_failure(TimeMs(0)));
     assert!(health.is_ejected(TimeMs(499)));
     assert!(!health.is_ejected(TimeMs(1_000)));
-    health.failed(TimeMs(1_000));
+    health.record_failure(TimeMs(1_000));
     assert!(health.is_ejected(TimeMs(1_999)));
     assert!(!health.is_ejected(TimeMs(3_000)));
 }
@@ -45,8 +45,8 @@
 fn a_trial_costs_one_request_and_not_one_of_every_entry() {
     const NEWS_MS: u64 = 25;
     let mut entries: Vec<_> = (0..30).map(|seed| Health::open(seed * 0x1234_5678_9abc)).collect();
-    let mut counts = [Answers::default(); 30];
-    let mut news: Vec<(u64, usize, Answers)> = Vec::new();
+    let mut counts = [AnswerCounts::default(); 30];
+    let mut news: Vec<(u64, usize, AnswerCounts)> = Vec::new();
     let (mut lost, mut served) = (0, 0);
     for now in 0..10_000 {
         for (_, from, answers) in news.extract_if(.., |(at, _, _)| *at <= now) {
@@ -60,12 +60,12 @@
             }
             if now < 5_000 {
                 lost += 1;
-                health.failed(TimeMs(now));
+                health.record_failure(TimeMs(now));
                 counts[at].failures += 1;
                 news.push((now + NEWS_MS, at, counts[at]));
             } else {
                 served += 1;
-                health.served(TimeMs(now));
+                health.record_success(TimeMs(now));
             }
         }
     }
--- a/src/replicas/tests/placement.rs
+++ b/src/replicas/tests/placement.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn idle_endpoints_share_requests() {
-    let directory = with(&[("r", announced("s", 1, 5, 9)), ("q", announced("s", 2, 5, 9))]);
+    let directory = with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let mut chosen: Vec<_> = (0..64)
         .filter_map(|_| placement.choose(TimeMs(0), &directory, &want(&[]), |_| true))
@@ -15,7 +15,8 @@
 
 #[test]
 fn a_prompt_returns_to_the_endpoint_that_read_it_unless_that_is_full() {
-    let mut directory = with(&[("r", announced("s", 1, 5, 9)), ("q", announced("s", 2, 5, 9))]);
+    let mut directory =
+        with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let holder = directory.find("q").expect("known");
     placement.read(TimeMs(0), holder, &[(1, 2_000)]);
@@ -25,7 +26,7 @@
             Some(holder)
         );
     }
-    (0..6).for_each(|_| directory.sent(TimeMs(1), holder));
+    (0..6).for_each(|_| directory.record_sent(TimeMs(1), holder));
     assert_ne!(
         placement.choose(TimeMs(1), &directory, &want(&[(1, 2_000)]), |_| true),
         Some(holder)
@@ -36,25 +37,25 @@
 // part of the requests lost into all of them refused.
 #[test]
 fn most_endpoints_of_a_service_are_never_left_out() {
-    let entries = ["a", "b", "c", "d"].map(|id| (id, announced("s", 1, 5, 9)));
+    let entries = ["a", "b", "c", "d"].map(|id| (id, announcement("s", 1, 5, 9)));
     let mut directory = with(&entries);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let keys: Vec<_> = directory.all().map(|(key, _)| key).collect();
     for key in keys {
-        (0..3).for_each(|_| directory.failed(TimeMs(0), key));
+        (0..3).for_each(|_| directory.record_failure(TimeMs(0), key));
     }
     assert!(placement.choose(TimeMs(100), &directory, &want(&[]), |_| true).is_some());
 }
 
 #[test]
 fn an_endpoint_that_fails_in_a_row_is_left_out_and_tried_again() {
-    let mut directory = with(&[("r", announced("s", 1, 5, 9))]);
+    let mut directory = with(&[("r", announcement("s", 1, 5, 9))]);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let key = directory.find("r").expect("known");
-    (0..3).for_each(|_| directory.failed(TimeMs(0), key));
+    (0..3).for_each(|_| directory.record_failure(TimeMs(0), key));
     assert_eq!(placement.choose(TimeMs(100), &directory, &want(&[]), |_| true), None);
     assert_eq!(placement.choose(TimeMs(1_000), &directory, &want(&[]), |_| true), Some(key));
-    directory.sent(TimeMs(1_000), key);
+    directory.record_sent(TimeMs(1_000), key);
     assert_eq!(placement.choose(TimeMs(1_000), &directory, &want(&[]), |_| true), None);
 }
 
@@ -62,7 +63,7 @@
 // next request. Most requests then open a connection, which endpoints accept a limited number of.
 #[test]
 fn a_kept_connection_decides_between_endpoints_that_are_alike() {
-    let directory = with(&[("r", announced("s", 1, 5, 9)), ("q", announced("s", 2, 5, 9))]);
+    let directory = with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let kept = directory.find("q").expect("known");
     for _ in 0..8 {
@@ -75,16 +76,16 @@
 // want of an endpoint, the caller would lose a turn that one of the two could have gone on with.
 #[test]
 fn what_may_run_again_is_rather_tried_where_it_may_fail_than_refused() {
-    let entries = ["a", "b", "c"].map(|id| (id, announced("s", 1, 5, 9)));
+    let entries = ["a", "b", "c"].map(|id| (id, announcement("s", 1, 5, 9)));
     let mut directory = with(&entries);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let keys: Vec<_> = directory.all().map(|(key, _)| key).collect();
     for key in &keys[..2] {
-        (0..3).for_each(|_| directory.failed(TimeMs(0), *key));
+        (0..3).for_each(|_| directory.record_failure(TimeMs(0), *key));
     }
-    let once = Want { not: vec![keys[2]], ..want(&[]) };
+    let once = PlacementRequest { excluded: vec![keys[2]], ..want(&[]) };
     assert_eq!(placement.choose(TimeMs(100), &directory, &once, |_| true), None);
-    let again = Want { accepts_ejected: true, ..once };
+    let again = PlacementRequest { accepts_ejected: true, ..once };
     let chosen = placement.choose(TimeMs(100), &directory, &again, |_| true);
     assert!(chosen.is_some_and(|key| key != keys[2]));
 }
@@ -93,7 +94,7 @@
 // and anywhere else that holds what all sessions share only the session is.
 #[test]
 fn a_session_that_has_grown_returns_to_where_it_was_read() {
-    let directory = with(&[("r", announced("s", 1, 5, 9)), ("q", announced("s", 2, 5, 9))]);
+    let directory = with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(at("d"), Mechanisms::default());
     let holder = directory.find("q").expect("known");
     let other = directory.find("r").expect("known");
@@ -110,10 +111,10 @@
 #[test]
 fn requests_about_an_object_share_an_endpoint_until_it_is_full() {
     let entries: Vec<_> =
-        (1..20).map(|port| (format!("r{port}"), announced("s", port, 5, 9))).collect();
+        (1..20).map(|port| (format!("r{port}"), announcement("s", port, 5, 9))).collect();
     let entries: Vec<_> = entries.iter().map(|(id, entry)| (id.as_str(), entry.clone())).collect();
     let mut directory = with(&entries);
-    let about = |object| Want { object: Some(object), ..want(&[]) };
+    let about = |object| PlacementRequest { object: Some(object), ..want(&[]) };
     let chosen = |domain: &str, directory: &Directory, object| {
         let mut placement = Placement::open(at(domain), Mechanisms::default());
         placement.choose(TimeMs(0), directory, &about(object), |_| true)
@@ -124,6 +125,6 @@
     homes.sort();
     homes.dedup();
     assert!(homes.len() >= 15, "objects spread over endpoints: {}", homes.len());
-    (0..9).for_each(|_| directory.sent(TimeMs(0), home));
+    (0..9).for_each(|_| directory.record_sent(TimeMs(0), home));
     assert_ne!(chosen("d", &directory, 7), Some(home));
 }
--- a/src/replicas/places.rs
+++ b/src/replicas/topology.rs
@@ -5,7 +5,7 @@
 /// Where this process is, and which region each failure domain lies in.
 #[value]
 #[derive(Default)]
-pub struct Places {
+pub struct Topology {
     /// The process's own failure domain.
     pub domain: Arc<str>,
     /// Its own region.
@@ -14,7 +14,7 @@
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
 }
 
-impl Places {
+impl Topology {
     /// The region of a failure domain, if it is known.
     pub fn region_of(&self, domain: &str) -> Option<&str> {
         self.regions.get(domain).map(|region| &**region)
--- a/src/turns/events.rs
+++ b/src/turns/events.rs
@@ -13,7 +13,7 @@
 
 impl EventReader {
     /// A reader that keeps the data of all events.
-    pub fn keeping_output() -> EventReader {
+    pub fn collecting_output() -> EventReader {
         EventReader { output: Some(Vec::new()), ..EventReader::default() }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Forgets what has come of an event that is not whole.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.line.clear();
         self.data.clear();
         self.has_data = false;
@@ -89,7 +89,7 @@
     }
 
     /// Whether the stream stands between two events.
-    pub fn between_events(&self) -> bool {
+    pub fn at_event_boundary(&self) -> bool {
         self.line.is_empty() && !self.has_field
     }
 
--- a/src/turns/ledger.rs
+++ b/src/turns/ledger.rs
@@ -2,7 +2,7 @@
 use std::fmt;
 
 use super::record::{Entry, account_record, decode, turn_record};
-use super::{Account, AccountKey, Record, RecordFault, Turn, TurnKey};
+use super::{Account, ProgramKey, Record, RecordFault, Turn, TurnKey};
 use crate::prelude::*;
 
 /// How much longer than promised a record is kept: clocks of VMs differ, and a successor judges by
@@ -29,7 +29,7 @@
 
 /// Numbers the records of one account.
 #[key]
-pub struct Version(u64);
+pub struct AccountVersion(u64);
 
 /// A program's account while its shard is owned.
 #[derive(Debug, Default)]
@@ -42,7 +42,7 @@
     /// for spent.
     counted: u64,
     /// What the records count that are not known to be durable yet, oldest first.
-    pending: VecDeque<(Version, u64)>,
+    pending: VecDeque<(AccountVersion, u64)>,
     newest: u64,
 }
 
@@ -54,10 +54,10 @@
     }
 
     /// Writes the account, with `ahead` reserved for a turn to come.
-    fn write(&mut self, key: AccountKey, ahead: u64) -> (Record, Version) {
+    fn write(&mut self, key: ProgramKey, ahead: u64) -> (Record, AccountVersion) {
         let reserved = self.under_way + ahead;
         self.newest += 1;
-        let version = Version(self.newest);
+        let version = AccountVersion(self.newest);
         self.pending.push_back((version, self.spent + reserved));
         let account = Account { spent: self.spent, reserved, kept_until: self.kept_until };
         (account_record(key, Some(&account)), version)
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     turns: HashMap<TurnKey, Turn>,
-    accounts: HashMap<AccountKey, Running>,
+    accounts: HashMap<ProgramKey, Running>,
 }
 
 impl Ledger {
@@ -116,11 +116,11 @@
     /// turn instead of two, and loses at most one turn's tokens when its owner dies.
     pub fn reserve(
         &mut self,
-        key: AccountKey,
+        key: ProgramKey,
         budget: u64,
         most: u64,
         kept_until: UnixMs,
-    ) -> Result<Option<(Record, Version)>, Spent> {
+    ) -> Result<Option<(Record, AccountVersion)>, Spent> {
         let account = self.accounts.entry(key).or_default();
         let used = account.spent + account.under_way;
         if used >= budget {
@@ -134,7 +134,7 @@
     }
 
     /// A turn is over: `used` of the `most` that it had reserved was handed out.
-    pub fn settle(&mut self, key: AccountKey, most: u64, used: u64) -> (Record, Version) {
+    pub fn settle(&mut self, key: ProgramKey, most: u64, used: u64) -> (Record, AccountVersion) {
         let account = self.accounts.entry(key).or_default();
         account.under_way = account.under_way.saturating_sub(most);
         account.spent += used;
@@ -146,7 +146,7 @@
     /// left whole: the one turn by which a program may pass its budget may be under way here already.
     pub fn charge(
         &mut self,
-        key: AccountKey,
+        key: ProgramKey,
         budget: u64,
         tokens: u64,
         kept_until: UnixMs,
@@ -165,7 +165,7 @@
     }
 
     /// A record of the account is durable, and so are those before it.
-    pub fn recorded(&mut self, key: AccountKey, version: Version) {
+    pub fn mark_durable(&mut self, key: ProgramKey, version: AccountVersion) {
         let Some(account) = self.accounts.get_mut(&key) else {
             return;
         };
@@ -192,7 +192,7 @@
     }
 
     /// Takes over turns that another shard holds, so that this one holds the whole chain.
-    pub fn adopt(&mut self, turns: Vec<(TurnKey, Turn)>) -> Vec<Record> {
+    pub fn import_turns(&mut self, turns: Vec<(TurnKey, Turn)>) -> Vec<Record> {
         let missing = turns.into_iter().filter(|(key, _)| !self.turns.contains_key(key));
         let missing: Vec<_> = missing.collect();
         missing.into_iter().map(|(key, turn)| self.complete(key, turn)).collect()
--- a/src/turns/mod.rs
+++ b/src/turns/mod.rs
@@ -8,8 +8,8 @@
 mod record;
 
 pub use events::EventReader;
-pub use ledger::{Ledger, Spent, Version};
-pub use record::{Account, AccountKey, Record, RecordFault, Turn, TurnKey};
+pub use ledger::{AccountVersion, Ledger, Spent};
+pub use record::{Account, ProgramKey, Record, RecordFault, Turn, TurnKey};
 
 #[cfg(test)]
 mod tests;
--- a/src/turns/record.rs
+++ b/src/turns/record.rs
@@ -16,7 +16,7 @@
 
 /// A program's key: a digest of its workspace and id.
 #[wire_key]
-pub struct AccountKey([u8; DIGEST_BYTES]);
+pub struct ProgramKey([u8; DIGEST_BYTES]);
 
 impl TurnKey {
     /// The key of turn `id` of a workspace.
@@ -33,21 +33,21 @@
     }
 }
 
-impl AccountKey {
+impl ProgramKey {
     /// The key of program `id` of a workspace.
-    pub fn of(workspace: &str, id: &str) -> AccountKey {
-        AccountKey(digest(workspace, id))
+    pub fn of(workspace: &str, id: &str) -> ProgramKey {
+        ProgramKey(digest(workspace, id))
     }
 
     /// The shard among `shards` that holds the program.
     pub fn shard(&self, shards: u32) -> u32 {
-        let AccountKey([a, b, c, d, ..]) = *self;
+        let ProgramKey([a, b, c, d, ..]) = *self;
         u32::from_be_bytes([a, b, c, d]) % shards.max(1)
     }
 
     /// A number for choices that a program makes alike each time.
     pub fn hash(&self) -> u64 {
-        let AccountKey([.., a, b, c, d]) = *self;
+        let ProgramKey([.., a, b, c, d]) = *self;
         u64::from(u32::from_be_bytes([a, b, c, d]))
     }
 }
@@ -133,7 +133,7 @@
 /// A record, decoded.
 pub(super) enum Entry {
     Turn(TurnKey, Turn),
-    Account(AccountKey, Account),
+    Account(ProgramKey, Account),
 }
 
 pub(super) fn decode(key: &str, value: &[u8]) -> Result<Entry, RecordFault> {
@@ -143,7 +143,7 @@
     hex::decode_to_slice(text, &mut digest).map_err(|_| RecordFault::Key)?;
     match kind {
         TURN => Ok(Entry::Turn(TurnKey(digest), read(value)?)),
-        ACCOUNT => Ok(Entry::Account(AccountKey(digest), read(value)?)),
+        ACCOUNT => Ok(Entry::Account(ProgramKey(digest), read(value)?)),
         _ => Err(RecordFault::Key),
     }
 }
@@ -156,7 +156,7 @@
     record(TURN, key.0, turn)
 }
 
-pub(super) fn account_record(key: AccountKey, account: Option<&Account>) -> Record {
+pub(super) fn account_record(key: ProgramKey, account: Option<&Account>) -> Record {
     record(ACCOUNT, key.0, account)
 }
 
--- a/src/turns/tests.rs
+++ b/src/turns/tests.rs
@@ -17,8 +17,8 @@
     TurnKey::of("w", id)
 }
 
-fn account(id: &str) -> AccountKey {
-    AccountKey::of("w", id)
+fn account(id: &str) -> ProgramKey {
+    ProgramKey::of("w", id)
 }
 
 fn reload(records: &[Record]) -> Ledger {
@@ -95,9 +95,9 @@
     let mut ledger = Ledger::default();
     let first = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
     let (_, version) = first.expect("the first needs a record");
-    ledger.recorded(account("p"), version);
+    ledger.mark_durable(account("p"), version);
     let (_, version) = ledger.settle(account("p"), 60, 10);
-    ledger.recorded(account("p"), version);
+    ledger.mark_durable(account("p"), version);
     assert_eq!(ledger.reserve(account("p"), 1_000, 60, UnixMs(1)), Ok(None));
     assert!(ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("left").is_some());
 }
@@ -109,7 +109,7 @@
 fn a_record_on_its_way_covers_no_more_than_it_says() {
     let mut ledger = Ledger::default();
     let first = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
-    ledger.recorded(account("p"), first.expect("the first needs a record").1);
+    ledger.mark_durable(account("p"), first.expect("the first needs a record").1);
     ledger.settle(account("p"), 60, 10);
     assert_eq!(ledger.reserve(account("p"), 1_000, 60, UnixMs(1)), Ok(None));
     let third = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("left");
@@ -127,21 +127,21 @@
 fn adopted_turns_are_written_once() {
     let mut ledger = Ledger::default();
     let chain = vec![(key("1"), turn(None, "a", 5)), (key("2"), turn(Some(key("1")), "b", 5))];
-    assert_eq!(ledger.adopt(chain.clone()).len(), 2);
-    assert_eq!(ledger.adopt(chain).len(), 0);
+    assert_eq!(ledger.import_turns(chain.clone()).len(), 2);
+    assert_eq!(ledger.import_turns(chain).len(), 0);
     assert!(ledger.chain(key("2")).is_some());
 }
 
 #[test]
 fn events_are_counted_and_their_data_kept() {
-    let mut reader = EventReader::keeping_output();
+    let mut reader = EventReader::collecting_output();
     for piece in [&b"id: 1\nda"[..], b"ta: one\n\n: note\n\nid: 2\r\ndata: t", b"wo\ndata:x\n\n"] {
         reader.push(piece);
     }
     assert_eq!(reader.events(), 2);
-    assert!(reader.between_events());
+    assert!(reader.at_event_boundary());
     reader.push(b"id: 3\n");
-    assert!(!reader.between_events());
+    assert!(!reader.at_event_boundary());
     assert_eq!(reader.into_output(), b"one\ntwo\nx\n");
 }
 
@@ -165,7 +165,7 @@
 fn a_cut_event_is_dropped_and_the_next_run_goes_on_behind_the_last_whole_one() {
     let first = b"id: 7\ndata: a\n\nid: 8\ndata: b\n\n";
     for cut in 0..=first.len() {
-        let mut reader = EventReader::keeping_output();
+        let mut reader = EventReader::collecting_output();
         let whole = reader.push(&first[..cut]);
         assert_eq!(whole, [0, 15, 30][reader.events() as usize], "{cut}");
         let last_id = reader.last_id().map(<[u8]>::to_vec);
@@ -173,8 +173,8 @@
             last_id.as_deref(),
             [None, Some(&b"7"[..]), Some(b"8")][reader.events() as usize]
         );
-        reader.drop_partial();
-        assert!(reader.between_events());
+        reader.discard_partial_event();
+        assert!(reader.at_event_boundary());
         reader.push(&first[whole..]);
         assert_eq!((reader.events(), reader.into_output()), (2, b"a\nb\n".to_vec()));
     }
@@ -190,7 +190,7 @@
     let mut ledger = Ledger::default();
     let first = ledger.reserve(account("p"), budget, most, UnixMs(1)).expect("nothing used");
     let (durable, version) = first.expect("the first turn needs a record");
-    ledger.recorded(account("p"), version);
+    ledger.mark_durable(account("p"), version);
     let mut handed_out = 0;
     loop {
         handed_out += used;
@@ -212,10 +212,10 @@
 fn a_turn_needs_no_record_once_that_of_the_turn_before_is_durable() {
     let mut ledger = Ledger::default();
     let first = ledger.reserve(account("p"), 10_000, 60, UnixMs(1)).expect("nothing used");
-    ledger.recorded(account("p"), first.expect("the first needs a record").1);
+    ledger.mark_durable(account("p"), first.expect("the first needs a record").1);
     for turn in 0..10 {
         let (_, settled) = ledger.settle(account("p"), 60, 50);
-        ledger.recorded(account("p"), settled);
+        ledger.mark_durable(account("p"), settled);
         let next = ledger.reserve(account("p"), 10_000, 60, UnixMs(1)).expect("within the budget");
         assert_eq!(next, None, "{turn}");
     }
--- a/src/turns/tests/properties.rs
+++ b/src/turns/tests/properties.rs
@@ -42,20 +42,20 @@
 #[derive(Default)]
 struct Played {
     ledger: Ledger,
-    written: Vec<(Record, Version)>,
+    written: Vec<(Record, AccountVersion)>,
     durable: usize,
     /// Tokens of turns that are over.
     handed_out: u64,
     /// Turns under way, with the record that each waits for.
-    under_way: Vec<Option<Version>>,
-    waiting: HashSet<Version>,
+    under_way: Vec<Option<AccountVersion>>,
+    waiting: HashSet<AccountVersion>,
     /// Whether the ledger is told of all records that are durable, or only of those that turns wait for.
     tells_all: bool,
 }
 
 impl Played {
-    fn key() -> AccountKey {
-        AccountKey::of("w", "p")
+    fn key() -> ProgramKey {
+        ProgramKey::of("w", "p")
     }
 
     fn play(&mut self, step: &Step) {
@@ -81,7 +81,7 @@
                 let until = (self.durable + records).min(self.written.len());
                 for (_, version) in &self.written[self.durable..until] {
                     if self.waiting.remove(version) || self.tells_all {
-                        self.ledger.recorded(Self::key(), *version);
+                        self.ledger.mark_durable(Self::key(), *version);
                     }
                 }
                 self.durable = until;
@@ -89,7 +89,7 @@
         }
     }
 
-    fn may_hand_out(&self, turn: Option<Version>) -> bool {
+    fn may_hand_out(&self, turn: Option<AccountVersion>) -> bool {
         turn.is_none_or(|version| !self.waiting.contains(&version))
     }
 
