--- a/src/catalog/build.rs
+++ b/src/catalog/configuration.rs
@@ -4,26 +4,26 @@
 use super::{Limits, Route, Service, Workspace};
 use crate::prelude::*;
 
-/// A configuration as its author declared it.
+/// A configuration as the operator has written it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Its version; higher is newer.
+    /// Version; a higher one is newer.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services, by name.
     pub services: Vec<(Arc<str>, Service)>,
-    /// All workspaces with their keys.
+    /// All workspaces, each with the digests of its API keys.
     pub workspaces: Vec<(Workspace, Vec<Digest>)>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
-/// Why a configuration was not taken.
+/// Why a configuration was rejected.
 #[value]
 #[derive(Copy)]
-pub enum CatalogFault {
-    /// It is not newer than the one in force.
+pub enum CatalogError {
+    /// Its version is not higher than that of the configuration in force.
     NotNewer {
         /// The version in force.
         in_force: u64,
@@ -32,19 +32,23 @@
     },
 }
 
-impl fmt::Display for CatalogFault {
+impl fmt::Display for CatalogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CatalogFault::NotNewer { in_force, offered } => {
-                write!(f, "version {offered} is not newer than {in_force}, which is in force")
+            CatalogError::NotNewer { in_force, offered } => {
+                write!(
+                    f,
+                    "configuration version {offered} rejected: it must be higher than {in_force}, \
+                     the version in force"
+                )
             }
         }
     }
 }
 
-impl std::error::Error for CatalogFault {}
+impl std::error::Error for CatalogError {}
 
-/// A configuration, indexed for look-ups.
+/// A configuration indexed for lookups.
 #[derive(Debug)]
 pub struct Catalog {
     version: u64,
@@ -56,73 +60,73 @@
 }
 
 impl Catalog {
-    /// Indexes `declared`, which must be newer than `in_force`: a configuration never goes back
-    /// within the life of a process.
+    /// Indexes `configuration`, whose version must be higher than that of `in_force`: a process
+    /// instance never returns to an earlier configuration.
     pub fn build_if_newer(
         in_force: Option<&Catalog>,
-        declared: Configuration,
-    ) -> Result<Catalog, CatalogFault> {
-        let offered = declared.version;
+        configuration: Configuration,
+    ) -> Result<Catalog, CatalogError> {
+        let offered = configuration.version;
         match in_force.map(|catalog| catalog.version) {
             Some(in_force) if offered <= in_force => {
-                Err(CatalogFault::NotNewer { in_force, offered })
+                Err(CatalogError::NotNewer { in_force, offered })
             }
-            _ => Ok(Catalog::index(declared)),
+            _ => Ok(Catalog::index(configuration)),
         }
     }
 
-    fn index(declared: Configuration) -> Catalog {
+    fn index(configuration: Configuration) -> Catalog {
         let mut routes: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
-        for route in declared.routes {
+        for route in configuration.routes {
             routes.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let mut keys = HashMap::new();
         let mut workspaces = Vec::new();
-        for (workspace, digests) in declared.workspaces {
+        for (workspace, digests) in configuration.workspaces {
             let workspace = Arc::new(workspace);
             keys.extend(digests.into_iter().map(|digest| (digest, workspace.clone())));
             workspaces.push(workspace);
         }
-        let services = declared.services.into_iter().collect();
-        let (version, limits) = (declared.version, declared.limits);
+        let services = configuration.services.into_iter().collect();
+        let (version, limits) = (configuration.version, configuration.limits);
         Catalog { version, routes, services, workspaces, keys, limits }
     }
 
-    /// Its version.
+    /// The version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// The route with the longest prefix of `path` among those of `host`.
+    /// Among the routes of `host` whose prefix `path` starts with, the one with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let of_host = self.routes.get(host)?;
-        of_host.iter().find(|route| path.starts_with(&*route.prefix))
+        let host_routes = self.routes.get(host)?;
+        host_routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// All services as declared, by name.
+    /// All services, by name.
     pub fn services(&self) -> impl Iterator<Item = (&Arc<str>, &Service)> {
         self.services.iter()
     }
 
-    /// A service as declared.
+    /// The service with this name, if it is configured.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Whether a service is declared at all.
+    /// Whether a service with this name is configured.
     pub fn has_service(&self, name: &str) -> bool {
         self.services.contains_key(name)
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that the API key with this digest belongs to.
     pub fn workspace_by_key(&self, key: Digest) -> Option<&Arc<Workspace>> {
         self.keys.get(&key)
     }
@@ -132,7 +136,7 @@
         self.workspaces.iter()
     }
 
-    /// Whether the configuration has workspaces; without any, no key is asked for.
+    /// Whether callers must present an API key: only if the configuration has workspaces.
     pub fn requires_keys(&self) -> bool {
         !self.workspaces.is_empty()
     }
--- a/src/catalog/instruction.rs
+++ b/src/catalog/instruction.rs
@@ -1,13 +1,13 @@
 use super::Configuration;
 use crate::prelude::*;
 
-/// What an operator has written.
+/// An instruction in the operator's log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Instruction {
-    /// A configuration.
+    /// Put this configuration into force.
     Configuration(Configuration),
-    /// Nothing more may be sent to the endpoints of this failure domain.
+    /// Send no more requests to the endpoints of this failure domain.
     Evacuate(Arc<str>),
-    /// The endpoints of this failure domain may be used again.
+    /// Use the endpoints of this failure domain again.
     Restore(Arc<str>),
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,12 +1,13 @@
-//! The configuration in force: which service a request goes to, whose key it bears, what is allowed.
+//! The operator's configuration: routes of requests to services, API keys of workspaces, and
+//! limits.
 
-mod build;
+mod configuration;
 mod instruction;
 mod regions;
 mod route;
 mod workspace;
 
-pub use build::{Catalog, CatalogFault, Configuration};
+pub use configuration::{Catalog, CatalogError, Configuration};
 pub use instruction::Instruction;
 pub use regions::Regions;
 pub use route::{Backend, RepeatPolicy, Route, Service};
--- a/src/catalog/regions.rs
+++ b/src/catalog/regions.rs
@@ -1,23 +1,23 @@
 use crate::prelude::*;
 
-/// The regions in which something may run, and to which it may be sent.
+/// The regions in which a request may run, and to which it may be sent.
 #[wire]
 #[derive(Default)]
 pub struct Regions(Option<Vec<Arc<str>>>);
 
 impl Regions {
-    /// Only those named; with no name, anywhere.
+    /// Only the named regions, or all regions if no name is given.
     pub fn only(names: impl IntoIterator<Item = impl Into<Arc<str>>>) -> Regions {
         let names: Vec<_> = names.into_iter().map(Into::into).collect();
         Regions((!names.is_empty()).then_some(names))
     }
 
-    /// Whether all regions are allowed, also those not known.
-    pub fn are_all(&self) -> bool {
+    /// Whether all regions are allowed, including unknown ones.
+    pub fn allow_all(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Whether a region is allowed. One that is not known is allowed only where all are.
+    /// Whether a region is allowed. An unknown region (`None`) is allowed only if all regions are.
     pub fn allow(&self, region: Option<&str>) -> bool {
         match &self.0 {
             None => true,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// What both allow, which may be nothing.
+    /// The regions that both allow, possibly none.
     pub fn and(&self, other: &Regions) -> Regions {
         match (&self.0, &other.0) {
             (Some(names), Some(_)) => {
--- a/src/catalog/route.rs
+++ b/src/catalog/route.rs
@@ -5,13 +5,14 @@
 #[wire]
 #[derive(Copy)]
 pub enum RepeatPolicy {
-    /// Running twice does no harm.
+    /// It may run any number of times.
     Idempotent,
-    /// At most one run.
+    /// It runs at most once.
     AtMostOnce,
-    /// At most one run, answered by a stream of events.
+    /// It runs at most once and is answered by a stream of events.
     Stream,
-    /// Answered by a stream of events that may go on at another endpoint from the last whole event.
+    /// It is answered by a stream of events, which another endpoint may continue after the last
+    /// complete event.
     ResumableStream,
 }
 
@@ -21,56 +22,57 @@
         matches!(self, RepeatPolicy::Stream | RepeatPolicy::ResumableStream)
     }
 
-    /// Whether another endpoint may run what one may have run already.
+    /// Whether a request that one endpoint may have run already may be sent to another one.
     pub fn may_run_again(self) -> bool {
         matches!(self, RepeatPolicy::Idempotent | RepeatPolicy::ResumableStream)
     }
 }
 
-/// One of the services that share a route.
+/// One of the services that share the requests of a route.
 #[value]
 pub struct Backend {
     /// The service.
     pub service: Arc<str>,
-    /// Its share against the other backends of the route.
+    /// Its weight relative to the other backends of the route.
     pub weight: u64,
 }
 
-/// Where requests of one host and path prefix go, and under which limits.
+/// The services and limits for the requests of one host and path prefix.
 #[value]
 pub struct Route {
-    /// The host that it answers for.
+    /// The host that requests are addressed to.
     pub host: Arc<str>,
     /// The path prefix, with a slash at both ends.
     pub prefix: Arc<str>,
     /// Whether its requests may run more than once.
     pub repeat: RepeatPolicy,
-    /// The longest that a request may be kept waiting.
+    /// Maximum time until a request is answered or refused.
     pub timeout_ms: u64,
-    /// The time within which an answer has its full value.
+    /// Latency target: the time within which an answer has its full value to the caller.
     pub target_ms: u64,
-    /// The longest pause between events of a stream that is still on time.
+    /// Latency target for the pause between two events of a stream.
     pub gap_target_ms: u64,
-    /// Rank: zero is served first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// The most endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request may be sent to.
     pub attempts: u32,
-    /// Whether the system keeps what was said, and puts it before the next turn.
+    /// Whether the proxy stores the history of turns and prepends it to the next turn.
     pub keeps_history: bool,
-    /// How long histories and the accounts of programs are kept after their last use.
+    /// Time after their last use for which histories and the accounts of programs are kept.
     pub retention_ms: u64,
-    /// Whether an endpoint that has lately handled an object is faster at the next request about it.
+    /// Whether an endpoint is faster at requests about an object that it has recently handled.
     pub sticky: bool,
-    /// Where its requests may run.
+    /// The regions in which its requests may run.
     pub regions: Regions,
-    /// Whether no key is asked for.
+    /// Whether callers need no API key.
     pub public: bool,
-    /// The services, one or several.
+    /// The services that process its requests.
     pub backends: Vec<Backend>,
 }
 
 impl Route {
-    /// The service for a request whose affinity hash is `hash`: the same hash, the same service.
+    /// The service for a request with this affinity hash; the same hash always gives the same
+    /// service.
     pub fn service(&self, hash: u64) -> Option<&Arc<str>> {
         let total: u64 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut left = hash.checked_rem(total)?;
@@ -84,17 +86,19 @@
     }
 }
 
-/// What is declared of a service.
+/// The configuration of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// The most connections that one of its endpoints accepts from all callers together.
+    /// Maximum number of connections that one of its endpoints accepts from all callers together.
     pub max_connections: u32,
-    /// Tokens that one event of a stream stands for; zero for services without an engine.
+    /// Number of tokens that one event of a stream represents; zero for services without an engine.
     pub tokens_per_event: u64,
-    /// The longest that an endpoint keeps a pause's memory when asked to; zero: it doesn't.
+    /// Maximum time for which an endpoint keeps a paused program's cache when asked to; zero if it
+    /// does not support this.
     pub pin_ms: u64,
-    /// How long an endpoint is cold after it has started.
+    /// Time for which an endpoint is cold after its start.
     pub cold_start_ms: u64,
-    /// Requests a second that a cold endpoint bears; zero: as many as a warm one.
+    /// Request rate that a cold endpoint can serve, per second; zero if it can serve as many as a
+    /// warm one.
     pub cold_per_s: f64,
 }
--- a/src/catalog/tests.rs
+++ b/src/catalog/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn declared(version: u64, routes: Vec<Route>) -> Configuration {
+fn configuration(version: u64, routes: Vec<Route>) -> Configuration {
     let limits = Limits {
         max_header_bytes: 16_384,
         max_body_bytes: 1 << 20,
@@ -33,7 +33,8 @@
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
     let routes = vec![route("a", "/x/", "one"), route("a", "/x/y/", "two"), route("b", "/", "b")];
-    let catalog = Catalog::build_if_newer(None, declared(1, routes)).expect("first");
+    let catalog = Catalog::build_if_newer(None, configuration(1, routes))
+        .expect("the first configuration is accepted");
     let service = |host, path| {
         catalog.route(host, path).and_then(|route| route.service(0)).map(|name| name.to_string())
     };
@@ -44,14 +45,16 @@
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
-    let newer = Catalog::build_if_newer(None, declared(7, vec![])).expect("first");
-    let fault = Catalog::build_if_newer(Some(&newer), declared(6, vec![])).map(|c| c.version());
-    assert_eq!(fault, Err(CatalogFault::NotNewer { in_force: 7, offered: 6 }));
+fn an_older_configuration_is_rejected() {
+    let newer = Catalog::build_if_newer(None, configuration(7, vec![]))
+        .expect("the first configuration is accepted");
+    let error =
+        Catalog::build_if_newer(Some(&newer), configuration(6, vec![])).map(|c| c.version());
+    assert_eq!(error, Err(CatalogError::NotNewer { in_force: 7, offered: 6 }));
 }
 
 #[test]
-fn weights_share_a_route() {
+fn requests_are_distributed_by_backend_weight() {
     let mut shared = route("a", "/", "one");
     shared.backends = vec![
         Backend { service: "one".into(), weight: 9 },
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn a_key_names_its_workspace_and_is_not_kept() {
+fn a_key_identifies_its_workspace_and_is_not_stored() {
     let workspace = Workspace {
         name: "w".into(),
         priority: None,
@@ -72,18 +75,19 @@
         burst: 1.0,
         regions: Regions::default(),
     };
-    let mut with_key = declared(1, vec![]);
+    let mut with_key = configuration(1, vec![]);
     with_key.workspaces = vec![(workspace, vec![Digest::of(&[b"secret"])])];
-    let catalog = Catalog::build_if_newer(None, with_key).expect("first");
+    let catalog =
+        Catalog::build_if_newer(None, with_key).expect("the first configuration is accepted");
     assert!(catalog.workspace_by_key(Digest::of(&[b"secret"])).is_some());
     assert!(catalog.workspace_by_key(Digest::of(&[b"Secret"])).is_none());
     assert!(!format!("{catalog:?}").contains("secret"));
 }
 
-// A route and its workspace both name regions: a request may run where both allow it, and nowhere if that
-// is nowhere.
+// If both a route and the workspace restrict the regions, a request may run only where both allow
+// it, and nowhere if they have no region in common.
 #[test]
-fn regions_of_route_and_workspace_both_bind() {
+fn a_region_must_be_allowed_by_both_route_and_workspace() {
     let (route, workspace) = (Regions::only(["a", "b"]), Regions::only(["b", "c"]));
     let both = workspace.and(&route);
     assert_eq!(["a", "b", "c"].map(|region| both.allow(Some(region))), [false, true, false]);
--- a/src/catalog/workspace.rs
+++ b/src/catalog/workspace.rs
@@ -1,31 +1,31 @@
 use super::Regions;
 use crate::prelude::*;
 
-/// What one workspace is allowed.
+/// A workspace and its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
     /// Its name.
     pub name: Arc<str>,
-    /// Rank of its requests, before the route's; none leaves the route's.
+    /// Priority of its requests, which overrides the route's; `None` keeps the route's.
     pub priority: Option<u8>,
-    /// Requests a second over all VMs together; zero: no limit.
+    /// Request rate over all VMs together, per second; zero for no limit.
     pub rate_per_s: f64,
-    /// Requests that may come at once beyond the rate.
+    /// Number of requests by which it may briefly exceed the rate.
     pub burst: f64,
-    /// Where its requests may run.
+    /// The regions in which its requests may run.
     pub regions: Regions,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size of a caller's request and on the time that it may take.
 #[value]
 #[derive(Copy)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// The longest that a head may take to arrive.
+    /// Maximum time for a request's head to arrive.
     pub header_timeout_ms: u64,
-    /// The longest that a connection may stay without a request.
+    /// Maximum time that a connection may stay open without a request.
     pub idle_timeout_ms: u64,
 }
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, and whether its workspace's rate has room for it.
+//! Admission: authenticates a request and charges it to its workspace's request rate.
 
 use std::time::Duration;
 
@@ -10,30 +10,32 @@
 use crate::prelude::*;
 use crate::quota::{Claim, Grant};
 
-/// Part of its time that a request waits for its workspace's rate at most: the wait is shorter than its
-/// caller's pause, and the rest of the time is enough to come back once.
-const RATE_WAIT_PART: f64 = 0.4;
+/// Maximum fraction of a request's time that is spent waiting for its workspace's rate. The wait is
+/// shorter than the caller's own pause before a retry, and the rest of the time is enough for one
+/// retry.
+const RATE_WAIT_FRACTION: f64 = 0.4;
 
-/// The longest wait for a workspace's rate: callers give a stream up that nothing is heard of after
-/// two seconds.
-const RATE_WAIT_MOST_MS: u64 = 1_500;
+/// Upper bound of the wait for a workspace's rate. Callers give up on a stream that has sent
+/// nothing for two seconds.
+const MAX_RATE_WAIT_MS: u64 = 1_500;
 
-/// A request that begins a program waits for this part of the time that its operator aims at: a program
-/// that begins late ends late, and the next one can still be in time.
-const BEGIN_WAIT_PART: f64 = 0.25;
+/// Maximum wait of a request that begins a program, as a fraction of the route's target latency. A
+/// program that begins late also ends late; refusing it leaves the rate to the next program, which
+/// can still finish in time.
+const PROGRAM_START_WAIT_FRACTION: f64 = 0.25;
 
-/// The longest time that a program may book, whatever its caller says.
-const PROGRAM_MOST_MS: u64 = 3_600_000;
+/// Upper bound of the program length for which rate is reserved, whatever the caller states.
+const MAX_PROGRAM_MS: u64 = 3_600_000;
 
-/// A request that may be served.
+/// An admitted request.
 pub(super) struct Admission {
-    /// Its workspace; none where no key is asked for.
+    /// The request's workspace; none if no key is required.
     pub(super) workspace: Option<Arc<Workspace>>,
     grant: Option<Grant>,
 }
 
 impl Admission {
-    /// The request has not run, and will not.
+    /// Returns the request's share of the rate, as the request has not run and never will.
     pub(super) fn refund(self, gateway: &Gateway) {
         if let (Some(workspace), Some(grant)) = (self.workspace, self.grant) {
             gateway.rates.borrow_mut().refund(gateway.now(), &workspace.name, grant);
@@ -41,71 +43,77 @@
     }
 }
 
-/// Admits a request, or says why not.
+/// Admits or refuses a request.
 pub(super) async fn admit(
     gateway: &Gateway,
     catalog: &Catalog,
     route: &Route,
-    call: &RequestHead,
+    request_head: &RequestHead,
     summary: &mut RequestSummary,
 ) -> Result<Admission, Refusal> {
     if route.public || !catalog.requires_keys() {
         return Ok(Admission { workspace: None, grant: None });
     }
-    let key = call.key.ok_or(Refusal::UnknownKey)?;
+    let key = request_head.key.ok_or(Refusal::UnknownKey)?;
     let workspace = catalog.workspace_by_key(key).ok_or(Refusal::UnknownKey)?;
     summary.workspace = Some(workspace.name.clone());
-    let claim = claim(gateway, call, route);
-    match take_rate(gateway, workspace, route, call, claim).await {
+    let claim = claim_of(gateway, request_head, route);
+    match acquire_rate(gateway, workspace, route, request_head, claim).await {
         Ok(grant) => Ok(Admission { workspace: Some(workspace.clone()), grant: Some(grant) }),
         Err(retry_after_ms) => {
             let (used, limit) = gateway.rates.borrow().used(&workspace.name);
             let peer_counts = gateway.peers.borrow().peer_counts(gateway.now());
-            let finish_ms = call.finish_ms.unwrap_or(u64::MAX);
-            log::info!(request:% = call.request, workspace:% = workspace.name, claim = claim.name(),
-                finish_ms, retry_after_ms, used, limit, entries = peer_counts.entries,
-                heard = peer_counts.heard, config = catalog.version(); "over the rate");
+            let finish_ms = request_head.finish_ms.unwrap_or(u64::MAX);
+            log::info!(request:% = request_head.request, workspace:% = workspace.name,
+                claim = claim.name(), finish_ms, retry_after_ms, used, limit,
+                entries = peer_counts.entries, heard = peer_counts.heard,
+                config = catalog.version();
+                "workspace over its request rate; request refused");
             Err(Refusal::RateLimited { retry_after_ms })
         }
     }
 }
 
-/// Takes a request out of its workspace's rate. If there is room soon, it waits: coming back would
-/// take its caller longer, and a program that is refused in its middle has wasted all before.
-async fn take_rate(
+/// Charges a request to its workspace's rate; if refused, returns the retry delay. If there will be
+/// room soon, it waits: a retry by the caller would take longer, and a program that is refused
+/// midway has wasted all its earlier turns.
+async fn acquire_rate(
     gateway: &Gateway,
     workspace: &Workspace,
     route: &Route,
-    call: &RequestHead,
+    request_head: &RequestHead,
     claim: Claim,
 ) -> Result<Grant, u64> {
     let arrived = gateway.now();
-    let left_ms = call.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-    let wait_most_ms = match claim {
-        Claim::StartsProgram { .. } => (route.target_ms as f64 * BEGIN_WAIT_PART) as u64,
-        Claim::Continues => ((left_ms as f64 * RATE_WAIT_PART) as u64).min(RATE_WAIT_MOST_MS),
+    let left_ms = request_head.wait_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+    let max_wait_ms = match claim {
+        Claim::StartsProgram { .. } => {
+            (route.target_ms as f64 * PROGRAM_START_WAIT_FRACTION) as u64
+        }
+        Claim::Continues => ((left_ms as f64 * RATE_WAIT_FRACTION) as u64).min(MAX_RATE_WAIT_MS),
     };
     loop {
         let now = gateway.now();
         let peer_counts = gateway.peers.borrow().peer_counts(now);
-        let taken = gateway.rates.borrow_mut().try_admit(now, workspace, peer_counts, claim);
-        match taken {
-            Err(retry_after_ms) if now.since(arrived) + retry_after_ms <= wait_most_ms => {
+        let acquired = gateway.rates.borrow_mut().try_admit(now, workspace, peer_counts, claim);
+        match acquired {
+            Err(retry_after_ms) if now.since(arrived) + retry_after_ms <= max_wait_ms => {
                 tokio::time::sleep(Duration::from_millis(retry_after_ms)).await;
             }
-            taken => return taken,
+            acquired => return acquired,
         }
     }
 }
 
-/// What a request means to its program, as far as its rate goes.
-fn claim(gateway: &Gateway, call: &RequestHead, route: &Route) -> Claim {
-    if call.max_output_tokens == 0 || !gateway.is_enabled(Mechanism::ProgramAdmission) {
+/// Whether a request begins a program, which reserves rate for the program's whole length, or
+/// belongs to one in progress or to none.
+fn claim_of(gateway: &Gateway, request_head: &RequestHead, route: &Route) -> Claim {
+    if request_head.max_output_tokens == 0 || !gateway.is_enabled(Mechanism::ProgramAdmission) {
         return Claim::Continues;
     }
-    match (&call.program, &call.previous, call.finish_ms) {
+    match (&request_head.program, &request_head.previous, request_head.finish_ms) {
         (Some(_), None, Some(finish_ms)) if route.keeps_history => {
-            Claim::StartsProgram { duration_ms: finish_ms.min(PROGRAM_MOST_MS) }
+            Claim::StartsProgram { duration_ms: finish_ms.min(MAX_PROGRAM_MS) }
         }
         _ => Claim::Continues,
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -12,83 +12,87 @@
 use crate::prelude::*;
 use crate::replicas::ReplicaKey;
 
-/// A request on its way to an endpoint.
+/// A request to be sent to an endpoint.
 #[derive(Clone)]
 pub(super) struct EndpointRequest {
+    /// The request's ID.
     pub(super) request: Arc<str>,
     pub(super) method: Method,
     pub(super) uri: Uri,
-    /// The caller's headers that an endpoint may see.
+    /// The caller's headers, without those that must not reach an endpoint.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    pub(super) order: RoutingDecision,
-    /// Parts of its prompt, as hashes, with their tokens.
+    pub(super) routing: RoutingDecision,
+    /// Parts of the prompt: hash and number of tokens of each.
     pub(super) parts: Vec<(u64, u64)>,
-    /// What its crashes are counted under.
+    /// Key under which endpoint crashes caused by this request are counted.
     pub(super) crash_key: u64,
-    /// When its time is over.
-    pub(super) ends_at: TimeMs,
+    /// The request's deadline.
+    pub(super) deadline: TimeMs,
 }
 
-/// An endpoint that says nothing for this many times its route's target is silent: a loaded
-/// engine takes up to about twice the target.
-const SILENT_TARGETS: u64 = 3;
+/// An endpoint counts as silent after this many times the route's target latency without a byte. A
+/// loaded engine takes up to about twice the target.
+const SILENCE_TARGET_FACTOR: u64 = 3;
 
-/// The shortest silence that counts: what a lost packet costs, twice.
-const SILENT_LEAST_MS: u64 = 500;
+/// Lower bound for the time until an endpoint counts as silent: twice the delay caused by a lost
+/// packet.
+const MIN_SILENCE_MS: u64 = 500;
 
-/// An answer may have come while this process stood still; it is looked for once more after this time:
-/// what a busy process takes to read all that waits.
-const OWN_DELAY_MS: u64 = 30;
+/// Extra wait before an endpoint is judged silent. Its response may have arrived while this process
+/// was paused; a busy process takes this long to read everything that is queued.
+const PROCESS_PAUSE_MS: u64 = 30;
 
-/// Marks a request as running at an endpoint, and holds its connection.
-pub(super) struct Lease {
+/// Counts a request as in flight at an endpoint until dropped, and holds the connection.
+pub(super) struct InFlightGuard {
     gateway: Rc<Gateway>,
     pub(super) endpoint: ReplicaKey,
     pub(super) endpoint_id: Arc<str>,
     connection: Option<Connection>,
-    /// Since when something is awaited of the endpoint; none while the request waits for others: its
-    /// caller, or the store.
-    awaited_since: Cell<Option<TimeMs>>,
+    /// Since when the request has been waiting for the endpoint; none while it waits for its caller
+    /// or for the store.
+    waiting_since: Cell<Option<TimeMs>>,
     silent_after_ms: u64,
-    judged: Cell<bool>,
+    /// Whether the outcome of this request was already counted for or against the endpoint.
+    outcome_recorded: Cell<bool>,
 }
 
-impl Lease {
+impl InFlightGuard {
     fn open(
         gateway: &Rc<Gateway>,
-        job: &EndpointRequest,
+        endpoint_request: &EndpointRequest,
         endpoint: ReplicaKey,
         id: Arc<str>,
-    ) -> Lease {
+    ) -> InFlightGuard {
         gateway.directory.borrow_mut().record_sent(gateway.now(), endpoint);
-        Lease {
+        InFlightGuard {
             gateway: gateway.clone(),
             endpoint,
             endpoint_id: id,
             connection: None,
-            awaited_since: Cell::new(Some(gateway.now())),
-            silent_after_ms: (SILENT_TARGETS * job.order.target_ms).max(SILENT_LEAST_MS),
-            judged: Cell::new(false),
+            waiting_since: Cell::new(Some(gateway.now())),
+            silent_after_ms: (SILENCE_TARGET_FACTOR * endpoint_request.routing.target_ms)
+                .max(MIN_SILENCE_MS),
+            outcome_recorded: Cell::new(false),
         }
     }
 
-    /// Something of the answer came; nothing more is awaited for now.
-    pub(super) fn heard(&self) {
-        self.awaited_since.set(None);
+    /// Stops the silence timer: part of the response has arrived.
+    pub(super) fn stop_silence_timer(&self) {
+        self.waiting_since.set(None);
     }
 
-    /// More of the answer is awaited.
-    pub(super) fn listen(&self) {
-        self.awaited_since.set(Some(self.gateway.now()));
+    /// Restarts the silence timer: more of the response is expected from now on.
+    pub(super) fn start_silence_timer(&self) {
+        self.waiting_since.set(Some(self.gateway.now()));
     }
 
-    /// The answer was read whole: the connection serves the next request. An endpoint that answers
-    /// with a fault of its own has not served it.
+    /// Records that the response was read completely, and returns the connection to the pool.
+    /// Status 500 is the endpoint's own error and counts as a failure.
     pub(super) fn finish(mut self, status: StatusCode) {
         let now = self.gateway.now();
         let failed = status == StatusCode::INTERNAL_SERVER_ERROR;
-        match (failed, self.judged.replace(true)) {
+        match (failed, self.outcome_recorded.replace(true)) {
             (true, false) => self.gateway.record_endpoint_failure(self.endpoint),
             (true, true) => {}
             (false, _) => self.gateway.directory.borrow_mut().record_success(now, self.endpoint),
@@ -98,179 +102,192 @@
         }
     }
 
-    /// The endpoint broke off; whoever says so counts it.
-    pub(super) fn broken(self) {
-        self.judged.set(true);
+    /// Ends the request after the endpoint broke off. The caller of this function counts the
+    /// failure.
+    pub(super) fn abandon(self) {
+        self.outcome_recorded.set(true);
     }
 
-    /// Counts a silent endpoint as failing, once for a request: it may hold its requests until their
-    /// callers leave, which no error ever tells. One that has more to run than slots is only busy.
-    ///
-    /// Yields whether it does.
-    pub(super) fn judge_silence(&self) -> bool {
-        let Some(since) = self.awaited_since.get() else {
+    /// Counts a silent endpoint as failed, at most once per request, and returns whether it did. A
+    /// stalled endpoint may keep its requests until their callers disconnect, which produces no
+    /// error. An endpoint with more requests than slots is busy and is not counted.
+    pub(super) fn check_silence(&self) -> bool {
+        let Some(since) = self.waiting_since.get() else {
             return false;
         };
         let silent_ms = self.gateway.now().since(since);
-        if silent_ms < self.silent_after_ms || self.judged.get() {
+        if silent_ms < self.silent_after_ms || self.outcome_recorded.get() {
             return false;
         }
         let directory = self.gateway.directory.borrow();
         let replica = directory.get(self.endpoint);
         let busy = replica.is_none_or(|r| r.load() > r.announcement.slots);
         drop(directory);
-        self.judged.set(true);
+        self.outcome_recorded.set(true);
         if !busy {
-            log::info!(endpoint:% = self.endpoint_id, silent_ms; "an endpoint is silent");
+            log::info!(endpoint:% = self.endpoint_id, silent_ms;
+                "endpoint did not respond in time; counted as failed");
             self.gateway.record_endpoint_failure(self.endpoint);
         }
         !busy
     }
 
-    /// How long an endpoint may say nothing.
+    /// How long the endpoint may send nothing before it counts as silent.
     pub(super) fn silent_after_ms(&self) -> u64 {
         self.silent_after_ms
     }
 }
 
-impl Drop for Lease {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.judge_silence();
+        self.check_silence();
         self.gateway.directory.borrow_mut().record_finished(self.endpoint);
     }
 }
 
-/// The head of an endpoint's own answer; its body is still to come.
-pub(super) struct Answer {
+/// The head of an endpoint's verified response, with the body still to be read.
+pub(super) struct EndpointResponse {
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
-    pub(super) lease: Lease,
+    pub(super) in_flight: InFlightGuard,
 }
 
-/// What became of one attempt.
-pub(super) enum Attempted {
-    /// The endpoint's own answer.
-    Answered(Box<Answer>),
-    /// The endpoint says that it has not run the request.
+/// Outcome of one attempt at an endpoint.
+pub(super) enum AttemptOutcome {
+    /// The endpoint responded.
+    Responded(Box<EndpointResponse>),
+    /// The endpoint states that it has not run the request.
     NotRun,
-    /// Nothing was sent: by now the endpoint may get nothing, or nothing more.
+    /// Nothing was sent: by now, the endpoint may not be sent any requests, or no further ones.
     Withheld,
-    /// Nothing was sent; whether a kept connection had gone stale.
+    /// Nothing was sent: the connection failed, the deadline has passed, or the endpoint is gone.
     NeverSent {
-        /// The endpoint may still be sound: only the kept connection was not.
+        /// A pooled connection failed; the endpoint itself may be healthy.
         stale_connection: bool,
     },
-    /// It was sent, and the endpoint has said nothing for too long. It may have run.
+    /// The request was sent and the endpoint did not respond in time. It may have run.
     Silent,
-    /// It was sent and may have run.
+    /// The request was sent and may have run.
     Unknown,
 }
 
-/// Sends a request to one endpoint and waits for the head of its answer.
+/// Sends a request to one endpoint and waits for the head of its response.
 ///
-/// An answer whose first events the caller has goes on behind the event named `last_event`.
+/// If the caller already has the first events of a stream, `last_event` is the ID of the last of
+/// them, and the endpoint resumes after it.
 pub(super) async fn attempt(
     gateway: &Rc<Gateway>,
-    job: &EndpointRequest,
+    endpoint_request: &EndpointRequest,
     endpoint: ReplicaKey,
     last_event: Option<&str>,
-) -> Attempted {
+) -> AttemptOutcome {
     let Some((address, id)) = gateway.endpoint(endpoint) else {
-        return Attempted::NeverSent { stale_connection: false };
+        return AttemptOutcome::NeverSent { stale_connection: false };
     };
     let mut connection = match gateway.connections.take(gateway.now(), address).await {
         Ok(connection) => connection,
         Err(ConnectFault::Refused | ConnectFault::Unreachable) => {
-            return Attempted::NeverSent { stale_connection: false };
+            return AttemptOutcome::NeverSent { stale_connection: false };
         }
     };
-    let Some(request) = compose(gateway, job, &id, last_event) else {
-        return Attempted::NeverSent { stale_connection: false };
+    let Some(request) = build_request(gateway, endpoint_request, &id, last_event) else {
+        return AttemptOutcome::NeverSent { stale_connection: false };
     };
-    // Opening the connection may have taken long, and other requests went there meanwhile.
+    // Opening the connection may have taken long: meanwhile, the endpoint's failure domain may have
+    // been evacuated, or other requests may have used up the limit of a cold endpoint.
     if !gateway.directory.borrow().may_send(gateway.now(), endpoint) {
         gateway.connections.keep(gateway.now(), connection);
-        return Attempted::Withheld;
+        return AttemptOutcome::Withheld;
     }
-    let mut lease = Lease::open(gateway, job, endpoint, id);
-    let answer = connection.sender.try_send_request(request);
-    let answer = match heard_within(&lease, answer, job.order.repeat.may_run_again()).await {
-        Some(answer) => answer,
-        None => return Attempted::Silent,
+    let mut in_flight = InFlightGuard::open(gateway, endpoint_request, endpoint, id);
+    let response = connection.sender.try_send_request(request);
+    let response = match wait_for_response(
+        &in_flight,
+        response,
+        endpoint_request.routing.repeat.may_run_again(),
+    )
+    .await
+    {
+        Some(response) => response,
+        None => return AttemptOutcome::Silent,
     };
-    match answer {
-        Ok(answer) => {
-            lease.heard();
-            let (head, body) = answer.into_parts();
-            match gateway.protocol.classify_reply(&head, &job.request) {
-                ResponseKind::NotRun => Attempted::NotRun,
-                ResponseKind::Untrusted => Attempted::Unknown,
+    match response {
+        Ok(response) => {
+            in_flight.stop_silence_timer();
+            let (head, body) = response.into_parts();
+            match gateway.protocol.classify_reply(&head, &endpoint_request.request) {
+                ResponseKind::NotRun => AttemptOutcome::NotRun,
+                ResponseKind::Untrusted => AttemptOutcome::Unknown,
                 ResponseKind::Own => {
                     if let Some(idle_ms) = keep_alive_ms(&head.headers) {
                         connection.idle_most_ms = idle_ms;
                     }
-                    lease.connection = Some(connection);
-                    Attempted::Answered(Box::new(Answer { head, body, lease }))
+                    in_flight.connection = Some(connection);
+                    AttemptOutcome::Responded(Box::new(EndpointResponse { head, body, in_flight }))
                 }
             }
         }
         Err(mut fault) => {
-            lease.broken();
+            in_flight.abandon();
             match fault.take_message() {
-                Some(_) => Attempted::NeverSent { stale_connection: connection.reused },
-                None => Attempted::Unknown,
+                Some(_) => AttemptOutcome::NeverSent { stale_connection: connection.reused },
+                None => AttemptOutcome::Unknown,
             }
         }
     }
 }
 
-/// Waits for an answer. A silent endpoint is counted as failing while the request still waits; what
-/// may run again is not left to it.
-async fn heard_within<T>(
-    lease: &Lease,
-    answer: impl Future<Output = T>,
+/// Waits for a response. A silent endpoint is counted as failed while the request is still waiting.
+/// A request that may be repeated then gives up (returns none); any other waits on.
+async fn wait_for_response<T>(
+    in_flight: &InFlightGuard,
+    response: impl Future<Output = T>,
     may_repeat: bool,
 ) -> Option<T> {
-    let mut answer = std::pin::pin!(answer);
-    for wait_ms in [lease.silent_after_ms, OWN_DELAY_MS] {
+    let mut response = std::pin::pin!(response);
+    for wait_ms in [in_flight.silent_after_ms, PROCESS_PAUSE_MS] {
         tokio::select! {
             biased;
-            answer = answer.as_mut() => return Some(answer),
+            response = response.as_mut() => return Some(response),
             () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {}
         }
     }
-    lease.judge_silence();
+    in_flight.check_silence();
     match may_repeat {
         true => None,
-        false => Some(answer.await),
+        false => Some(response.await),
     }
 }
 
-fn compose(
+fn build_request(
     gateway: &Gateway,
-    job: &EndpointRequest,
+    endpoint_request: &EndpointRequest,
     id: &str,
     last_event: Option<&str>,
 ) -> Option<Request<Outgoing>> {
-    let mut request = Request::new(Outgoing::whole(job.body.clone()));
-    *request.method_mut() = job.method.clone();
-    *request.uri_mut() = job.uri.clone();
-    *request.headers_mut() = job.headers.clone();
-    let left_ms = job.ends_at.since(gateway.now());
-    let addressed = RequestContext {
+    let mut request = Request::new(Outgoing::whole(endpoint_request.body.clone()));
+    *request.method_mut() = endpoint_request.method.clone();
+    *request.uri_mut() = endpoint_request.uri.clone();
+    *request.headers_mut() = endpoint_request.headers.clone();
+    let left_ms = endpoint_request.deadline.since(gateway.now());
+    let context = RequestContext {
         endpoint: id,
-        workspace: &job.order.workspace,
+        workspace: &endpoint_request.routing.workspace,
         left_ms,
-        priority: job.order.repeat.is_stream().then_some(job.order.priority),
+        priority: endpoint_request
+            .routing
+            .repeat
+            .is_stream()
+            .then_some(endpoint_request.routing.priority),
         pin_ms: None,
         last_event,
     };
-    gateway.protocol.set_endpoint_headers(request.headers_mut(), &addressed);
+    gateway.protocol.set_endpoint_headers(request.headers_mut(), &context);
     (left_ms > 0).then_some(request)
 }
 
-/// Half of the time for which the other end keeps a connection, so that a request never meets its
-/// closing.
+/// Half of the idle timeout that the server announces in `keep-alive`, in milliseconds. With this
+/// margin, no request is sent on a connection that the server is about to close.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/src/gateway/buffered.rs
+++ b/src/gateway/buffered.rs
@@ -4,39 +4,40 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Bytes;
 
-use super::attempt::{Answer, EndpointRequest};
+use super::attempt::{EndpointRequest, EndpointResponse};
 use super::dispatch::Dispatch;
 use super::state::Gateway;
 use super::{Refusal, ResponseBody};
 
-/// The most bytes of an answer that is held until it is whole.
-const WHOLE_ANSWER_MOST_BYTES: usize = 4 << 20;
+/// Limit for the body of a buffered response.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Serves a request whose answer is passed on once it is whole.
-pub(super) async fn serve_plain(
+/// Serves a request whose response is buffered and passed on only when it is complete.
+pub(super) async fn serve_buffered(
     gateway: &Rc<Gateway>,
-    job: &Rc<EndpointRequest>,
+    endpoint_request: &Rc<EndpointRequest>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let mut dispatch = Dispatch::open(gateway, job);
+    let mut dispatch = Dispatch::open(gateway, endpoint_request);
     loop {
-        let Answer { head, body, lease } = dispatch.answer().await?;
-        let endpoint = lease.endpoint;
-        lease.listen();
-        match Limited::new(body, WHOLE_ANSWER_MOST_BYTES).collect().await {
-            Ok(whole) => {
-                lease.finish(head.status);
-                gateway.clear_suspect(job.crash_key);
-                // What the endpoint has failed by a fault of its own, another may serve.
+        let EndpointResponse { head, body, in_flight } = dispatch.next_response().await?;
+        let endpoint = in_flight.endpoint;
+        in_flight.start_silence_timer();
+        match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
+            Ok(body) => {
+                in_flight.finish(head.status);
+                gateway.clear_suspect(endpoint_request.crash_key);
+                // Status 500 is the endpoint's own error: another endpoint may succeed.
                 let failed = head.status == StatusCode::INTERNAL_SERVER_ERROR;
-                if !failed || !dispatch.may_go_on() {
-                    return Ok(pass_whole(head, whole.to_bytes()));
+                if !failed || !dispatch.may_try_another() {
+                    return Ok(build_response(head, body.to_bytes()));
                 }
-                log::info!(request:% = job.request; "failed at an endpoint; tried at another");
+                log::info!(request:% = endpoint_request.request;
+                    "endpoint answered with status 500; trying another endpoint");
             }
             Err(_) => {
-                lease.broken();
-                dispatch.broke_off(endpoint).await;
-                if !job.order.repeat.may_run_again() {
+                in_flight.abandon();
+                dispatch.record_broken_attempt(endpoint).await;
+                if !endpoint_request.routing.repeat.may_run_again() {
                     return Err(Refusal::OutcomeUnknown);
                 }
             }
@@ -44,16 +45,16 @@
     }
 }
 
-/// An endpoint's answer with its body, framed anew.
-pub(super) fn pass_whole(head: response::Parts, body: Bytes) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(body));
+/// Builds the response to the caller from an endpoint's head and complete body.
+pub(super) fn build_response(head: response::Parts, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(body));
     *response.status_mut() = head.status;
-    *response.headers_mut() = end_to_end(head.headers);
+    *response.headers_mut() = strip_hop_by_hop_headers(head.headers);
     response
 }
 
-/// Headers without those that concern one connection only.
-pub(super) fn end_to_end(mut headers: http::HeaderMap) -> http::HeaderMap {
+/// Removes the headers that apply to a single connection (hop-by-hop headers).
+pub(super) fn strip_hop_by_hop_headers(mut headers: http::HeaderMap) -> http::HeaderMap {
     for name in ["connection", "keep-alive", "transfer-encoding", "content-length", "te", "upgrade"]
     {
         headers.remove(name);
--- a/src/gateway/call_store.rs
+++ b/src/gateway/call_store.rs
@@ -2,15 +2,15 @@
 
 use super::StoreError;
 
-/// The longest wait for a call that is answered at once while the store is sound.
+/// Time limit for calls that the store, while healthy, answers at once.
 pub(super) const STORE_CALL_TIMEOUT_MS: u64 = 700;
 
-/// Waits for an answer of the store for `limit_ms` at most. The store, or one connection to it, may fall
-/// silent without breaking: a call without a limit never ends then, and neither does the task that made
-/// it, though the store has long been back.
+/// Runs a call to the store with a time limit of `limit_ms`. The store, or one connection to it,
+/// may hang without closing. Without a limit, the call and the task that made it would then never
+/// end, even after the store has recovered.
 ///
 /// # Errors
-/// Those of the call; [`StoreError::NoAnswer`] once the time is over.
+/// Those of the call; [`StoreError::NoAnswer`] if the time limit is exceeded.
 pub(super) async fn call_store<T>(
     limit_ms: u64,
     call: impl Future<Output = Result<T, StoreError>>,
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -1,74 +1,92 @@
 use std::rc::Rc;
 
 use super::Refusal;
-use super::attempt::{Answer, Attempted, EndpointRequest, attempt};
+use super::attempt::{AttemptOutcome, EndpointRequest, EndpointResponse, attempt};
 use super::state::Gateway;
 use crate::replicas::{PlacementRequest, ReplicaKey};
 
-/// Attempts that never reached an endpoint, or were refused by it, beyond those a route allows to
-/// run. They cost the endpoints nothing, but a request must not wander over all of them.
-const UNRUN_ATTEMPTS_MOST: u32 = 3;
+/// Maximum number of attempts that did not run, because they did not reach the endpoint or it
+/// refused them. They do not count towards the route's attempts, as they cost the endpoints
+/// nothing, but a request must not try all endpoints one after the other.
+const MAX_UNRUN_ATTEMPTS: u32 = 3;
 
-/// When to return if no endpoint takes the request now: about two mean running times.
+/// Retry delay if no endpoint accepts the request now: about two mean running times.
 const NO_ENDPOINT_RETRY_MS: u64 = 150;
 
-/// When to return if every endpoint is in an evacuated failure domain: an operator takes that back after
-/// seconds at best.
+/// Retry delay if all endpoints are in evacuated failure domains. An operator needs at least
+/// seconds to end an evacuation.
 const EVACUATED_RETRY_MS: u64 = 1_000;
 
-/// Attempts of one request, one after the other.
+/// The attempts of one request, made one after the other.
 pub(super) struct Dispatch {
     gateway: Rc<Gateway>,
-    job: Rc<EndpointRequest>,
+    endpoint_request: Rc<EndpointRequest>,
+    /// Endpoints that are not tried (again).
     excluded: Vec<ReplicaKey>,
+    /// Number of attempts that may have run.
     may_have_run: u32,
+    /// Number of attempts that have certainly not run.
     not_run: u32,
-    /// The last event that the caller has; the next endpoint goes on behind it.
+    /// ID of the last event that the caller has; the next endpoint resumes after it.
     last_event: Option<String>,
 }
 
 impl Dispatch {
-    pub(super) fn open(gateway: &Rc<Gateway>, job: &Rc<EndpointRequest>) -> Dispatch {
-        let (gateway, job) = (gateway.clone(), job.clone());
-        Dispatch { gateway, job, excluded: vec![], may_have_run: 0, not_run: 0, last_event: None }
+    pub(super) fn open(gateway: &Rc<Gateway>, endpoint_request: &Rc<EndpointRequest>) -> Dispatch {
+        let (gateway, endpoint_request) = (gateway.clone(), endpoint_request.clone());
+        Dispatch {
+            gateway,
+            endpoint_request,
+            excluded: vec![],
+            may_have_run: 0,
+            not_run: 0,
+            last_event: None,
+        }
     }
 
-    /// The next endpoint goes on behind the event named `last_event`.
-    pub(super) fn go_on_behind(&mut self, last_event: Option<String>) {
+    /// Makes the next endpoint resume after the event with the ID `last_event`.
+    pub(super) fn resume_after(&mut self, last_event: Option<String>) {
         self.last_event = last_event;
     }
 
-    /// The next endpoint's answer. What may run once only is tried again only while it is certain
-    /// that it has not run.
-    pub(super) async fn answer(&mut self) -> Result<Answer, Refusal> {
-        while let Some(endpoint) = self.next() {
-            match attempt(&self.gateway, &self.job, endpoint, self.last_event.as_deref()).await {
-                Attempted::Answered(answer) => {
+    /// Tries endpoints until one responds. A request that must not run twice is tried again only
+    /// while it has certainly not run.
+    pub(super) async fn next_response(&mut self) -> Result<EndpointResponse, Refusal> {
+        while let Some(endpoint) = self.next_endpoint() {
+            match attempt(
+                &self.gateway,
+                &self.endpoint_request,
+                endpoint,
+                self.last_event.as_deref(),
+            )
+            .await
+            {
+                AttemptOutcome::Responded(response) => {
                     self.may_have_run += 1;
                     self.excluded.push(endpoint);
-                    return Ok(*answer);
+                    return Ok(*response);
                 }
-                Attempted::NotRun => {
+                AttemptOutcome::NotRun => {
                     self.not_run += 1;
                     self.excluded.push(endpoint);
                 }
-                Attempted::Withheld => self.excluded.push(endpoint),
-                Attempted::NeverSent { stale_connection: true } => self.not_run += 1,
-                Attempted::NeverSent { stale_connection: false } => {
+                AttemptOutcome::Withheld => self.excluded.push(endpoint),
+                AttemptOutcome::NeverSent { stale_connection: true } => self.not_run += 1,
+                AttemptOutcome::NeverSent { stale_connection: false } => {
                     self.not_run += 1;
                     self.excluded.push(endpoint);
                     self.gateway.record_endpoint_failure(endpoint);
                     self.gateway.assume_cold(endpoint);
                 }
-                Attempted::Silent => {
+                AttemptOutcome::Silent => {
                     self.may_have_run += 1;
                     self.excluded.push(endpoint);
                 }
-                Attempted::Unknown => {
+                AttemptOutcome::Unknown => {
                     self.may_have_run += 1;
                     self.excluded.push(endpoint);
-                    self.broke_off(endpoint).await;
-                    if !self.job.order.repeat.may_run_again() {
+                    self.record_broken_attempt(endpoint).await;
+                    if !self.endpoint_request.routing.repeat.may_run_again() {
                         return Err(Refusal::OutcomeUnknown);
                     }
                 }
@@ -77,17 +95,18 @@
         Err(self.refusal())
     }
 
-    /// Why no endpoint has served it.
+    /// The refusal to return when no endpoint has served the request.
     fn refusal(&self) -> Refusal {
         let directory = self.gateway.directory.borrow();
-        let known = directory.of_service(&self.job.order.service);
-        let (evacuated, open): (Vec<_>, Vec<_>) =
-            known.partition(|(_, replica)| directory.is_evacuated(replica));
-        log::info!(request:% = self.job.request, service:% = self.job.order.service,
-            endpoints = open.len(), evacuated = evacuated.len(), not_run = self.not_run,
-            may_have_run = self.may_have_run; "no endpoint served it");
+        let known_endpoints = directory.of_service(&self.endpoint_request.routing.service);
+        let (evacuated, available): (Vec<_>, Vec<_>) =
+            known_endpoints.partition(|(_, replica)| directory.is_evacuated(replica));
+        log::info!(request:% = self.endpoint_request.request,
+            service:% = self.endpoint_request.routing.service, endpoints = available.len(),
+            evacuated = evacuated.len(), not_run = self.not_run, may_have_run = self.may_have_run;
+            "no endpoint served the request; request refused");
         match self.may_have_run {
-            0 if open.is_empty() && !evacuated.is_empty() => {
+            0 if available.is_empty() && !evacuated.is_empty() => {
                 Refusal::Unavailable { retry_after_ms: EVACUATED_RETRY_MS }
             }
             0 => Refusal::Unavailable { retry_after_ms: NO_ENDPOINT_RETRY_MS },
@@ -95,36 +114,37 @@
         }
     }
 
-    /// Whether another endpoint may be tried after one that has run the request.
-    pub(super) fn may_go_on(&self) -> bool {
-        !self.is_spent() && self.job.order.repeat.may_run_again()
+    /// Whether another endpoint may be tried although the request may have run.
+    pub(super) fn may_try_another(&self) -> bool {
+        !self.is_exhausted() && self.endpoint_request.routing.repeat.may_run_again()
     }
 
-    /// An endpoint broke the request off after it was sent.
-    pub(super) async fn broke_off(&self, endpoint: ReplicaKey) {
+    /// Counts an endpoint's failure after the request was sent, and checks whether the request has
+    /// crashed the endpoint.
+    pub(super) async fn record_broken_attempt(&self, endpoint: ReplicaKey) {
         self.gateway.record_endpoint_failure(endpoint);
-        self.gateway.check_for_crash(&self.job, endpoint).await;
+        self.gateway.check_for_crash(&self.endpoint_request, endpoint).await;
     }
 
-    fn is_spent(&self) -> bool {
-        self.may_have_run >= self.job.order.attempts.max(1)
-            || self.not_run >= UNRUN_ATTEMPTS_MOST
-            || (self.may_have_run > 0 && !self.job.order.repeat.may_run_again())
-            || self.gateway.is_poison_request(self.job.crash_key)
+    fn is_exhausted(&self) -> bool {
+        self.may_have_run >= self.endpoint_request.routing.attempts.max(1)
+            || self.not_run >= MAX_UNRUN_ATTEMPTS
+            || (self.may_have_run > 0 && !self.endpoint_request.routing.repeat.may_run_again())
+            || self.gateway.is_poison_request(self.endpoint_request.crash_key)
     }
 
-    fn next(&self) -> Option<ReplicaKey> {
-        if self.is_spent() {
+    fn next_endpoint(&self) -> Option<ReplicaKey> {
+        if self.is_exhausted() {
             return None;
         }
-        let want = PlacementRequest {
-            service: self.job.order.service.clone(),
-            parts: self.job.parts.clone(),
-            object: self.job.order.object,
-            regions: self.job.order.regions.clone(),
+        let placement_request = PlacementRequest {
+            service: self.endpoint_request.routing.service.clone(),
+            parts: self.endpoint_request.parts.clone(),
+            object: self.endpoint_request.routing.object,
+            regions: self.endpoint_request.routing.regions.clone(),
             excluded: self.excluded.clone(),
-            accepts_ejected: self.job.order.repeat.may_run_again(),
+            accepts_ejected: self.endpoint_request.routing.repeat.may_run_again(),
         };
-        self.gateway.choose(&want)
+        self.gateway.choose(&placement_request)
     }
 }
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -1,17 +1,17 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why a gateway could not run.
+/// Why the gateway could not start.
 #[derive(Debug)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// A listener could not be opened.
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         fault: std::io::Error,
     },
-    /// Signals can't be listened to.
+    /// A signal handler could not be installed.
     Signals(std::io::Error),
 }
 
@@ -19,9 +19,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             GatewayError::Listen { address, fault } => {
-                write!(f, "can't listen on {address}: {fault}")
+                write!(f, "cannot listen on {address}: {fault}")
             }
-            GatewayError::Signals(fault) => write!(f, "can't listen to signals: {fault}"),
+            GatewayError::Signals(fault) => write!(f, "cannot install signal handlers: {fault}"),
         }
     }
 }
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -1,4 +1,4 @@
-//! The events of one answer, whichever endpoints they come from.
+//! The event stream of one response, which may come from several endpoints in succession.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,42 +8,45 @@
 use hyper::body::{Bytes, Incoming};
 
 use super::Refusal;
-use super::attempt::{Answer, EndpointRequest, Lease};
+use super::attempt::{EndpointRequest, EndpointResponse, InFlightGuard};
 use super::dispatch::Dispatch;
 use super::state::Gateway;
-use super::turn::within;
+use super::turn::until_deadline;
 use crate::prelude::*;
 use crate::replicas::ReplicaKey;
 use crate::turns::EventReader;
 
-/// What an endpoint's answer begins as.
-pub(super) enum Opened {
-    /// Events.
+/// How an endpoint's response begins.
+pub(super) enum ResponseStart {
+    /// With status 2xx, followed by events.
     Events(Box<EventStream>),
-    /// The endpoint's own failure.
-    Failure(Box<Answer>),
+    /// With another status.
+    Failure(Box<EndpointResponse>),
 }
 
-/// Events as they come. Those of a request that may go on elsewhere are passed on whole only, so that
-/// another endpoint can go on behind the last one: an endpoint that breaks off, dies or falls silent in
-/// the middle of an answer costs the caller a pause, where else it loses its turn.
+/// The events of a response, passed on as they arrive.
+///
+/// If the request may be resumed at another endpoint, only complete events are passed on, so that
+/// the other endpoint can resume after the last one. An endpoint that breaks off, dies or stalls in
+/// the middle of a response then costs the caller a pause instead of the turn.
 pub(super) struct EventStream {
     gateway: Rc<Gateway>,
-    job: Rc<EndpointRequest>,
+    endpoint_request: Rc<EndpointRequest>,
     dispatch: Dispatch,
-    /// The endpoint under way; none once it has broken off.
+    /// None after the endpoint has broken off.
     source: Option<Source>,
     reader: EventReader,
-    /// The bytes of an event that is not whole yet.
+    /// The bytes of an event that is still incomplete.
     partial: Vec<u8>,
 }
 
+/// The response of the current endpoint.
 struct Source {
     body: Incoming,
-    lease: Lease,
+    in_flight: InFlightGuard,
 }
 
-/// Why an endpoint's answer did not come to its end.
+/// Why an endpoint's response did not reach its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Broken,
@@ -60,158 +63,177 @@
     }
 }
 
-/// What is known of an answer once it has ended.
-pub(super) struct Ended {
-    /// The endpoint that ended it.
+/// Summary of a complete response.
+pub(super) struct CompletedResponse {
+    /// The endpoint that sent the end of the response.
     pub(super) endpoint: ReplicaKey,
-    /// Its id.
+    /// The ID of that endpoint.
     pub(super) endpoint_id: Arc<str>,
-    /// The data of its events, each followed by a line feed, if it was to be kept.
+    /// The data of all events, each followed by a line feed; empty unless the output is to be kept.
     pub(super) output: Vec<u8>,
 }
 
 impl EventStream {
-    /// Sends the request out; yields the head of the first endpoint's answer, and what follows it.
+    /// Sends the request. Returns the head of the response, and what follows it.
     pub(super) async fn open(
         gateway: &Rc<Gateway>,
-        job: &Rc<EndpointRequest>,
+        endpoint_request: &Rc<EndpointRequest>,
         reader: EventReader,
-    ) -> Result<(response::Parts, Opened), Refusal> {
-        let mut dispatch = Dispatch::open(gateway, job);
-        let mut answer = within(gateway, job.ends_at, dispatch.answer()).await??;
-        while answer.head.status == StatusCode::INTERNAL_SERVER_ERROR && dispatch.may_go_on() {
-            log::info!(request:% = job.request; "failed at an endpoint; tried at another");
-            answer.lease.finish(answer.head.status);
-            answer = within(gateway, job.ends_at, dispatch.answer()).await??;
+    ) -> Result<(response::Parts, ResponseStart), Refusal> {
+        let mut dispatch = Dispatch::open(gateway, endpoint_request);
+        let mut response =
+            until_deadline(gateway, endpoint_request.deadline, dispatch.next_response()).await??;
+        while response.head.status == StatusCode::INTERNAL_SERVER_ERROR
+            && dispatch.may_try_another()
+        {
+            log::info!(request:% = endpoint_request.request;
+                "endpoint answered with status 500; trying another endpoint");
+            response.in_flight.finish(response.head.status);
+            response = until_deadline(gateway, endpoint_request.deadline, dispatch.next_response())
+                .await??;
         }
-        let head = answer.head.clone();
-        if !answer.head.status.is_success() {
-            return Ok((head, Opened::Failure(Box::new(answer))));
+        let head = response.head.clone();
+        if !response.head.status.is_success() {
+            return Ok((head, ResponseStart::Failure(Box::new(response))));
         }
-        let source = Some(Source { body: answer.body, lease: answer.lease });
-        let (gateway, job, partial) = (gateway.clone(), job.clone(), Vec::new());
-        let stream = EventStream { gateway, job, dispatch, source, reader, partial };
-        Ok((head, Opened::Events(Box::new(stream))))
+        let source = Some(Source { body: response.body, in_flight: response.in_flight });
+        let (gateway, endpoint_request, partial) =
+            (gateway.clone(), endpoint_request.clone(), Vec::new());
+        let stream = EventStream { gateway, endpoint_request, dispatch, source, reader, partial };
+        Ok((head, ResponseStart::Events(Box::new(stream))))
     }
 
-    /// Events that have come so far, the one under way included.
-    pub(super) fn begun(&self) -> u64 {
+    /// Number of events so far, including one that is still incomplete.
+    pub(super) fn events_begun(&self) -> u64 {
         self.reader.events() + u64::from(!self.reader.at_event_boundary())
     }
 
-    /// The next bytes to pass on; nothing at the answer's end.
-    pub(super) async fn next(&mut self) -> Result<Option<Bytes>, Refusal> {
+    /// The next bytes to pass on; [`None`] at the end of the response.
+    pub(super) async fn next_chunk(&mut self) -> Result<Option<Bytes>, Refusal> {
         loop {
-            match self.read().await {
-                Ok(Some(piece)) => {
-                    if let Some(bytes) = self.take_in(piece) {
+            match self.read_chunk().await {
+                Ok(Some(chunk)) => {
+                    if let Some(bytes) = self.complete_events(chunk) {
                         return Ok(Some(bytes));
                     }
                 }
-                Ok(None) if self.is_whole() => return Ok(None),
-                Ok(None) => self.go_on_elsewhere(Fault::Broken).await?,
-                Err(fault) => self.go_on_elsewhere(fault).await?,
+                Ok(None) if self.is_complete() => return Ok(None),
+                Ok(None) => self.resume_elsewhere(Fault::Broken).await?,
+                Err(fault) => self.resume_elsewhere(fault).await?,
             }
         }
     }
 
-    /// The answer is over; the endpoint's connection serves the next request.
-    pub(super) fn finish(self) -> Option<Ended> {
-        let Source { lease, .. } = self.source?;
-        let (endpoint, endpoint_id) = (lease.endpoint, lease.endpoint_id.clone());
-        lease.finish(StatusCode::OK);
-        self.gateway.clear_suspect(self.job.crash_key);
-        Some(Ended { endpoint, endpoint_id, output: self.reader.into_output() })
+    /// Finishes a complete response, and returns the connection to the pool.
+    pub(super) fn finish(self) -> Option<CompletedResponse> {
+        let Source { in_flight, .. } = self.source?;
+        let (endpoint, endpoint_id) = (in_flight.endpoint, in_flight.endpoint_id.clone());
+        in_flight.finish(StatusCode::OK);
+        self.gateway.clear_suspect(self.endpoint_request.crash_key);
+        Some(CompletedResponse { endpoint, endpoint_id, output: self.reader.into_output() })
     }
 
-    fn is_whole(&self) -> bool {
+    /// Whether the response may end here: after a complete event.
+    fn is_complete(&self) -> bool {
         self.reader.at_event_boundary() && self.reader.events() > 0
     }
 
-    fn take_in(&mut self, piece: Bytes) -> Option<Bytes> {
-        let whole = self.reader.push(&piece);
-        if !self.job.order.repeat.may_run_again() {
-            return Some(piece);
+    /// Adds a chunk from the endpoint, and returns what can be passed on now: the whole chunk or,
+    /// if the response may be resumed at another endpoint, the events that are complete.
+    fn complete_events(&mut self, chunk: Bytes) -> Option<Bytes> {
+        let complete_len = self.reader.push(&chunk);
+        if !self.endpoint_request.routing.repeat.may_run_again() {
+            return Some(chunk);
         }
-        if whole == 0 {
-            self.partial.extend_from_slice(&piece);
+        if complete_len == 0 {
+            self.partial.extend_from_slice(&chunk);
             return None;
         }
-        let begun = std::mem::replace(&mut self.partial, piece[whole..].to_vec());
-        match begun.is_empty() {
-            true => Some(piece.slice(..whole)),
-            false => Some([&begun, &piece[..whole]].concat().into()),
+        let event_start = std::mem::replace(&mut self.partial, chunk[complete_len..].to_vec());
+        match event_start.is_empty() {
+            true => Some(chunk.slice(..complete_len)),
+            false => Some([&event_start, &chunk[..complete_len]].concat().into()),
         }
     }
 
-    /// The next bytes of the endpoint under way. Silence ends an answer that may go on elsewhere.
-    async fn read(&mut self) -> Result<Option<Bytes>, Fault> {
-        let Source { body, lease } = self.source.as_mut().ok_or(Fault::Broken)?;
-        lease.listen();
-        let next = within(&self.gateway, self.job.ends_at, next_frame(body));
-        let piece = match self.dispatch.may_go_on() {
-            true => unless_silent(lease, next).await,
+    /// The next bytes from the current endpoint. If the response may be resumed at another
+    /// endpoint, silence counts as a fault.
+    async fn read_chunk(&mut self) -> Result<Option<Bytes>, Fault> {
+        let Source { body, in_flight } = self.source.as_mut().ok_or(Fault::Broken)?;
+        in_flight.start_silence_timer();
+        let next = until_deadline(&self.gateway, self.endpoint_request.deadline, next_data(body));
+        let chunk = match self.dispatch.may_try_another() {
+            true => wait_unless_silent(in_flight, next).await,
             false => Some(next.await),
         };
-        lease.heard();
-        match piece {
-            Some(Ok(Ok(piece))) => Ok(piece),
+        in_flight.stop_silence_timer();
+        match chunk {
+            Some(Ok(Ok(chunk))) => Ok(chunk),
             Some(Ok(Err(_))) => Err(Fault::Broken),
             Some(Err(_)) => Err(Fault::TimedOut),
             None => Err(Fault::Silent),
         }
     }
 
-    /// The endpoint broke off; another goes on behind the last whole event. Its connection is closed
-    /// first, so that the run there is over before the next begins.
-    async fn go_on_elsewhere(&mut self, fault: Fault) -> Result<(), Refusal> {
-        let Some(Source { body, lease }) = self.source.take() else {
+    /// Resumes the response at another endpoint, after the last complete event. The connection to
+    /// the current endpoint is closed first, so that its run ends before the next one begins.
+    async fn resume_elsewhere(&mut self, fault: Fault) -> Result<(), Refusal> {
+        let Some(Source { body, in_flight }) = self.source.take() else {
             return Err(fault.refusal());
         };
-        let endpoint = lease.endpoint;
+        let endpoint = in_flight.endpoint;
         drop(body);
-        lease.broken();
+        in_flight.abandon();
         if fault != Fault::Silent {
-            self.dispatch.broke_off(endpoint).await;
+            self.dispatch.record_broken_attempt(endpoint).await;
         }
         let last_event = self.reader.last_id().map(|id| String::from_utf8_lossy(id).into_owned());
-        let is_named = self.reader.events() == 0 || last_event.is_some();
-        if fault == Fault::TimedOut || !is_named || !self.dispatch.may_go_on() {
+        let can_resume = self.reader.events() == 0 || last_event.is_some();
+        if fault == Fault::TimedOut || !can_resume || !self.dispatch.may_try_another() {
             return Err(fault.refusal());
         }
         self.partial.clear();
         self.reader.discard_partial_event();
-        self.dispatch.go_on_behind(last_event);
-        let answer = within(&self.gateway, self.job.ends_at, self.dispatch.answer()).await??;
-        let (status, events) = (answer.head.status.as_u16(), self.reader.events());
-        log::info!(request:% = self.job.request, endpoint:% = answer.lease.endpoint_id, status, events,
-            fault:?; "an answer goes on at another endpoint");
-        if !answer.head.status.is_success() {
+        self.dispatch.resume_after(last_event);
+        let response = until_deadline(
+            &self.gateway,
+            self.endpoint_request.deadline,
+            self.dispatch.next_response(),
+        )
+        .await??;
+        let (status, events) = (response.head.status.as_u16(), self.reader.events());
+        log::info!(request:% = self.endpoint_request.request,
+            endpoint:% = response.in_flight.endpoint_id, status, events, fault:?;
+            "another endpoint answered the resume request");
+        if !response.head.status.is_success() {
             return Err(fault.refusal());
         }
-        self.source = Some(Source { body: answer.body, lease: answer.lease });
+        self.source = Some(Source { body: response.body, in_flight: response.in_flight });
         Ok(())
     }
 }
 
-/// Waits for something of an endpoint; nothing if the endpoint is silent. One that is only busy is
-/// waited for.
-async fn unless_silent<T>(lease: &Lease, something: impl Future<Output = T>) -> Option<T> {
-    let mut something = std::pin::pin!(something);
-    let silent_after = Duration::from_millis(lease.silent_after_ms());
+/// Waits for data from an endpoint; returns [`None`] if the endpoint is silent. If it is only busy,
+/// the wait goes on.
+async fn wait_unless_silent<T>(
+    in_flight: &InFlightGuard,
+    future: impl Future<Output = T>,
+) -> Option<T> {
+    let mut future = std::pin::pin!(future);
+    let silent_after = Duration::from_millis(in_flight.silent_after_ms());
     tokio::select! {
         biased;
-        something = something.as_mut() => return Some(something),
+        output = future.as_mut() => return Some(output),
         () = tokio::time::sleep(silent_after) => {}
     }
-    match lease.judge_silence() {
+    match in_flight.check_silence() {
         true => None,
-        false => Some(something.await),
+        false => Some(future.await),
     }
 }
 
-/// The next bytes of an endpoint's answer; nothing at its end.
-pub(super) async fn next_frame(body: &mut Incoming) -> Result<Option<Bytes>, Refusal> {
+/// The next data of a body; [`None`] at its end. Trailers and empty frames are skipped.
+pub(super) async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, Refusal> {
     loop {
         match body.frame().await {
             None => return Ok(None),
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,4 +1,5 @@
-//! Turns on their way from the entry that took them to the owner of their program's shard.
+//! Forwarding of requests between entries: of turns to the owner of their program's shard, and of
+//! any request to an entry with a fresh configuration.
 
 use std::rc::Rc;
 use std::sync::Mutex;
@@ -8,250 +9,264 @@
 use hyper::body::{Bytes, Incoming};
 use tokio::sync::{mpsc, oneshot};
 
-use super::buffered::end_to_end;
+use super::buffered::strip_hop_by_hop_headers;
 use super::call_store::{STORE_CALL_TIMEOUT_MS, call_store};
-use super::event_stream::next_frame;
+use super::event_stream::next_data;
 use super::owned_shard::{OwnedShard, Stage};
 use super::state::Gateway;
-use super::turn::within;
+use super::turn::until_deadline;
 use super::{Refusal, ResponseBody, RoutingDecision};
 use crate::http::{ConnectFault, Gate, Outgoing};
 use crate::mechanisms::Mechanism;
 use crate::prelude::*;
 
-/// Carries the [`Order`] of a forwarded turn.
-pub(super) const ORDER_HEADER: &str = "x-trefoil-order";
+/// Carries the [`RoutingDecision`] of a forwarded turn, encoded with postcard and then as hex.
+pub(super) const ROUTING_HEADER: &str = "x-trefoil-order";
 
-/// The most bytes of a request on its way between entries: what a record of the store holds.
-pub(super) const FORWARDED_MOST_BYTES: usize = 4 << 20;
+/// Limit for the body of a request sent between entries: the size of a record in the store.
+pub(super) const MAX_FORWARDED_BYTES: usize = 4 << 20;
 
-/// Marks a request that another entry could not decide on, with what is left of its time in milliseconds.
+/// Marks a request that was relayed because the sending entry's configuration is stale. The value
+/// is the time left until the request's deadline, in milliseconds.
 pub(super) const RELAYED_HEADER: &str = "x-trefoil-relayed";
 
-/// Marks an answer: this entry does not own the shard, and nothing was done.
-pub(super) const MOVED_HEADER: &str = "x-trefoil-moved";
+/// Marks a response: the entry does not own the shard and has done nothing.
+pub(super) const NOT_OWNER_HEADER: &str = "x-trefoil-moved";
 
 /// Marks a refusal: the turn has not run and never will.
 pub(super) const NOT_RUN_HEADER: &str = "x-trefoil-not-run";
 
-/// How long a turn may wait for its shard to find an owner: an owner that dies is replaced
-/// once its membership lapses, after one and a half seconds, and its records are read.
-const OWNER_WAIT_MOST_MS: u64 = 1_900;
+/// Upper bound of a turn's wait for its shard to get an owner. An owner that dies is replaced after
+/// its membership expires (1.5 s) and its successor has read the shard's records.
+const MAX_OWNER_WAIT_MS: u64 = 1_900;
 
-/// Part of a request's time that the wait for an owner may use up: beyond, the turn itself could
-/// not end in time.
-const OWNER_WAIT_PART: f64 = 0.6;
+/// Fraction of a request's time that the wait for an owner may use up. After a longer wait, the
+/// turn itself could not finish in time.
+const OWNER_WAIT_FRACTION: f64 = 0.6;
 
-/// An owner takes a turn within this time or does not get it: a machine whose processor is
-/// held back stands still for up to a tenth of a second.
-const TAKEN_WITHIN_MS: u64 = 250;
+/// Time within which an owner must accept a turn; otherwise the turn is withdrawn. A VM whose CPU
+/// is throttled pauses for up to 100 ms.
+const ACCEPT_TIMEOUT_MS: u64 = 250;
 
-/// Pause between two looks for an owner.
-const LOOK_AGAIN_MS: u64 = 20;
+/// Pause between two lookups of the owner, unless the shard table changes earlier.
+const OWNER_LOOKUP_INTERVAL_MS: u64 = 20;
 
-/// When to return if a shard has no owner.
+/// Retry delay if the shard has no owner.
 const NO_OWNER_RETRY_MS: u64 = 400;
 
-/// Pieces that wait for a slow caller.
-const PIECES_WAITING_MOST: usize = 32;
+/// Chunks of a response that are buffered for a slow caller.
+const MAX_BUFFERED_CHUNKS: usize = 32;
 
-/// Why a request goes to another entry.
-pub(super) enum Towards {
-    /// The owner of its program's shard serves it as was decided here.
+/// Which other entry a request is sent to, and who decides on it.
+pub(super) enum ForwardTarget {
+    /// The entry owns the program's shard, and serves the request as decided here.
     Owner(RoutingDecision),
-    /// An entry with a fresh configuration decides all of it.
-    Fresh,
+    /// The entry has a fresh configuration, and both decides on and serves the request.
+    FreshConfig,
 }
 
-/// A request as its caller sent it.
-pub(super) struct Forwarded {
+/// A request to be sent to another entry, as received from its caller.
+pub(super) struct ForwardedRequest {
+    /// The request's ID.
     pub(super) request: Arc<str>,
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    pub(super) towards: Towards,
-    pub(super) ends_at: TimeMs,
+    pub(super) target: ForwardTarget,
+    pub(super) deadline: TimeMs,
 }
 
-/// Where a shard's turns are served.
-pub(super) enum Served {
-    /// Here.
-    Here(Rc<OwnedShard>),
-    /// At another entry, which has answered.
-    There(Response<ResponseBody>),
+/// Outcome of the search for the owner of a shard.
+pub(super) enum OwnerResult {
+    /// This entry owns the shard; the turn is still to be served.
+    Local(Rc<OwnedShard>),
+    /// Another entry owns the shard and has responded.
+    Responded(Response<ResponseBody>),
 }
 
-/// Finds the owner of a shard; if that is another entry, has it serve the turn.
+/// Finds the owner of a shard and, if that is another entry, forwards the turn to it.
 ///
-/// A turn goes to another owner only while it is certain that the last one has not taken it: after
-/// a connection that broke behind the request, its outcome is unknown.
-pub(super) async fn find_owner(
+/// A turn is forwarded to a further owner only while the previous one has certainly not accepted
+/// it. If a connection breaks after the request was sent, the outcome is unknown.
+pub(super) async fn forward_to_owner(
     gateway: &Rc<Gateway>,
     shard: u32,
-    turn: &Forwarded,
-) -> Result<Served, Refusal> {
+    forwarded: &ForwardedRequest,
+) -> Result<OwnerResult, Refusal> {
     let arrived = gateway.now();
-    let time_ms = turn.ends_at.since(arrived);
-    let wait_ms = ((time_ms as f64 * OWNER_WAIT_PART) as u64).min(OWNER_WAIT_MOST_MS);
+    let time_ms = forwarded.deadline.since(arrived);
+    let wait_ms = ((time_ms as f64 * OWNER_WAIT_FRACTION) as u64).min(MAX_OWNER_WAIT_MS);
     loop {
         if let Some(own) = gateway.shards.owned(shard).filter(|own| own.stage() == Stage::Serving) {
-            return Ok(Served::Here(own));
+            return Ok(OwnerResult::Local(own));
         }
         if let Some(owner) = gateway.shards.remote_owner(shard) {
-            if let Towards::Owner(order) = &turn.towards
-                && !gateway.may_forward_to(owner.address, &order.regions)
+            if let ForwardTarget::Owner(routing) = &forwarded.target
+                && !gateway.may_forward_to(owner.address, &routing.regions)
             {
-                log::info!(request:% = turn.request, shard, owner:% = owner.address;
-                    "the owner of a shard lies outside a turn's regions");
+                log::info!(request:% = forwarded.request, shard, owner:% = owner.address;
+                    "owner of the shard is outside the turn's allowed regions; turn refused");
                 return Err(Refusal::Unavailable { retry_after_ms: NO_OWNER_RETRY_MS });
             }
-            match send(gateway, owner.address, turn).await? {
-                Sent::Answered(response) => return Ok(Served::There(response)),
-                Sent::Moved => gateway.shards.forget_owner(owner.address, Some(shard)),
-                Sent::Silent => {
+            match send(gateway, owner.address, forwarded).await? {
+                SendOutcome::Responded(response) => return Ok(OwnerResult::Responded(response)),
+                SendOutcome::NotServed => gateway.shards.forget_owner(owner.address, Some(shard)),
+                SendOutcome::NotAccepted => {
                     gateway.shards.forget_owner(owner.address, Some(shard));
                     let out_of_touch =
                         !gateway.peers.borrow().heard_recently(gateway.now(), owner.address);
-                    log::info!(request:% = turn.request, shard, owner:% = owner.address, out_of_touch;
-                        "the owner of a shard does not take a turn");
+                    log::info!(request:% = forwarded.request, shard, owner:% = owner.address,
+                        out_of_touch;
+                        "owner of the shard did not accept a turn; looking for the owner again");
                     if out_of_touch {
-                        sign_off_gone(gateway, owner.address).await;
+                        deregister_dead_entry(gateway, owner.address).await;
                     }
                 }
-                Sent::Unreached(fault) => {
+                SendOutcome::ConnectFailed(fault) => {
                     gateway.shards.forget_owner(owner.address, None);
                     if fault == ConnectFault::Refused {
-                        sign_off_gone(gateway, owner.address).await;
+                        deregister_dead_entry(gateway, owner.address).await;
                     }
                 }
             }
         }
         if gateway.now().since(arrived) >= wait_ms {
-            log::info!(request:% = turn.request, shard; "a turn found no owner of its shard");
+            log::info!(request:% = forwarded.request, shard;
+                "shard has no reachable owner; turn refused");
             return Err(Refusal::Unavailable { retry_after_ms: NO_OWNER_RETRY_MS });
         }
         tokio::select! {
             () = gateway.shards.changed.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_AGAIN_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(OWNER_LOOKUP_INTERVAL_MS)) => {}
         }
     }
 }
 
-/// Signs off an entry whose process is gone while its VM lives, so that its shards are dealt anew at
-/// once instead of after its membership lapses. If it lives after all, the epochs keep it harmless.
-async fn sign_off_gone(gateway: &Gateway, address: std::net::SocketAddr) {
-    let relieves = gateway.is_enabled(Mechanism::PeerDeregistration);
-    if relieves && gateway.peers.borrow_mut().deregister(address).is_some() {
+/// Deregisters an entry that appears to be dead: its VM refuses connections, or it neither responds
+/// nor gossips. Its shards are then reassigned at once instead of after its membership expires. If
+/// it is alive after all, the later epochs of the new owners fence its writes.
+async fn deregister_dead_entry(gateway: &Gateway, address: std::net::SocketAddr) {
+    let deregisters = gateway.is_enabled(Mechanism::PeerDeregistration);
+    if deregisters && gateway.peers.borrow_mut().deregister(address).is_some() {
         deregister(gateway, address).await;
     }
 }
 
-/// Takes another entry out of the group of owners.
+/// Removes another entry from the group of shard owners.
 pub(super) async fn deregister(gateway: &Gateway, address: std::net::SocketAddr) {
     let Some(name) = gateway.peers.borrow().name(address) else {
         return;
     };
-    log::info!(peer:% = name; "an entry is signed off; its shards are dealt anew");
+    log::info!(peer:% = name; "deregistering an entry; its shards will be reassigned");
     if let Err(fault) = call_store(STORE_CALL_TIMEOUT_MS, gateway.store.leave(&name)).await {
-        log::warn!(peer:% = name, fault:display; "an entry could not be signed off");
+        log::warn!(peer:% = name, fault:display;
+            "deregistering an entry failed; its shards are reassigned when its membership expires");
     }
     gateway.renew_membership();
 }
 
-pub(super) enum Sent {
-    Answered(Response<ResponseBody>),
-    Moved,
-    /// It has not taken the turn and never will, though the connection stands.
-    Silent,
-    Unreached(ConnectFault),
+/// Outcome of sending a request to another entry.
+pub(super) enum SendOutcome {
+    /// The entry responded.
+    Responded(Response<ResponseBody>),
+    /// The entry does not own the shard, or the connection failed before the request was complete.
+    /// The request has not run there and never will.
+    NotServed,
+    /// The entry did not accept the request in time, although the connection is open. The request
+    /// has not run there and never will.
+    NotAccepted,
+    /// No connection could be opened.
+    ConnectFailed(ConnectFault),
 }
 
-/// Sends a turn to its owner: the head first, and the body only once the owner asks for it.
+/// Sends a request to another entry: first the head, and the body only after the entry asks for it
+/// (`Expect: 100-continue`).
 ///
-/// A frozen owner, one without power or one behind a cut takes the bytes of a kept connection and
-/// says nothing. Sent whole, the turn might run whenever that owner wakes, so that it could go
-/// nowhere else and its caller lost it. Without its body it can't run.
+/// An entry that is frozen, without power or behind a network partition does not respond, but the
+/// bytes sent on a pooled connection are still accepted. If the whole request were sent, it might
+/// run whenever that entry wakes up. It could then be sent nowhere else, and the caller would lose
+/// it. Without its body it cannot run.
 pub(super) async fn send(
     gateway: &Rc<Gateway>,
     address: std::net::SocketAddr,
-    turn: &Forwarded,
-) -> Result<Sent, Refusal> {
+    forwarded: &ForwardedRequest,
+) -> Result<SendOutcome, Refusal> {
     let mut connection = match gateway.connections.take(gateway.now(), address).await {
         Ok(connection) => connection,
-        Err(fault) => return Ok(Sent::Unreached(fault)),
+        Err(fault) => return Ok(SendOutcome::ConnectFailed(fault)),
     };
     let gate = Arc::new(Gate::default());
-    if turn.body.is_empty() {
+    if forwarded.body.is_empty() {
         gate.open();
     }
-    let (taken, mut is_taken) = oneshot::channel();
-    let Some(request) = compose(gateway, turn, gate.clone(), taken) else {
+    let (accept_sender, mut accepted) = oneshot::channel();
+    let Some(request) = build_request(gateway, forwarded, gate.clone(), accept_sender) else {
         return Err(Refusal::TimedOut);
     };
-    let answer = connection.sender.try_send_request(request);
-    let mut answer = std::pin::pin!(within(gateway, turn.ends_at, answer));
-    let early = tokio::select! {
+    let response = connection.sender.try_send_request(request);
+    let mut response = std::pin::pin!(until_deadline(gateway, forwarded.deadline, response));
+    let early_response = tokio::select! {
         biased;
-        answer = answer.as_mut() => Some(answer),
-        _ = &mut is_taken => None,
-        () = tokio::time::sleep(Duration::from_millis(TAKEN_WITHIN_MS)) => {
+        response = response.as_mut() => Some(response),
+        _ = &mut accepted => None,
+        () = tokio::time::sleep(Duration::from_millis(ACCEPT_TIMEOUT_MS)) => {
             if gate.shut() {
-                return Ok(Sent::Silent);
+                return Ok(SendOutcome::NotAccepted);
             }
             None
         }
     };
-    let answer = match early {
-        Some(answer) => answer,
-        None => answer.await,
+    let response = match early_response {
+        Some(response) => response,
+        None => response.await,
     };
-    let response = match answer? {
+    let response = match response? {
         Ok(response) => response,
         Err(mut fault) => {
             return match fault.take_message().is_some() || gate.shut() {
-                true => Ok(Sent::Moved),
+                true => Ok(SendOutcome::NotServed),
                 false => Err(Refusal::OutcomeUnknown),
             };
         }
     };
     let (head, body) = response.into_parts();
-    if head.headers.contains_key(MOVED_HEADER) {
+    if head.headers.contains_key(NOT_OWNER_HEADER) {
         gate.shut();
-        return Ok(Sent::Moved);
+        return Ok(SendOutcome::NotServed);
     }
-    let (pieces, passing) = mpsc::channel(PIECES_WAITING_MOST);
-    let ends_at = turn.ends_at;
-    let pass = pass_on(gateway.clone(), ends_at, body, pieces);
-    let keeper = gateway.clone();
+    let (chunk_sender, chunk_receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let deadline = forwarded.deadline;
+    let copy = copy_body(gateway.clone(), deadline, body, chunk_sender);
+    let gateway = gateway.clone();
     tokio::task::spawn_local(async move {
-        if pass.await {
-            keeper.connections.keep(keeper.now(), connection);
+        if copy.await {
+            gateway.connections.keep(gateway.now(), connection);
         }
     });
-    let mut response = Response::new(ResponseBody::passing(passing));
+    let mut response = Response::new(ResponseBody::streaming(chunk_receiver));
     *response.status_mut() = head.status;
-    *response.headers_mut() = end_to_end(head.headers);
-    Ok(Sent::Answered(response))
+    *response.headers_mut() = strip_hop_by_hop_headers(head.headers);
+    Ok(SendOutcome::Responded(response))
 }
 
-/// Passes a body on; `true` once it has ended whole.
-async fn pass_on(
+/// Passes a body on. Returns whether it was passed on completely.
+async fn copy_body(
     gateway: Rc<Gateway>,
-    ends_at: TimeMs,
+    deadline: TimeMs,
     mut body: Incoming,
-    pieces: mpsc::Sender<Option<Bytes>>,
+    chunk_sender: mpsc::Sender<Option<Bytes>>,
 ) -> bool {
     loop {
         let next = tokio::select! {
-            next = within(&gateway, ends_at, next_frame(&mut body)) => next,
-            () = pieces.closed() => return false,
+            next = until_deadline(&gateway, deadline, next_data(&mut body)) => next,
+            () = chunk_sender.closed() => return false,
         };
-        let Ok(Ok(piece)) = next else {
+        let Ok(Ok(chunk)) = next else {
             return false;
         };
-        let ended = piece.is_none();
-        if pieces.send(piece).await.is_err() {
+        let ended = chunk.is_none();
+        if chunk_sender.send(chunk).await.is_err() {
             return false;
         }
         if ended {
@@ -260,45 +275,47 @@
     }
 }
 
-fn compose(
+fn build_request(
     gateway: &Gateway,
-    turn: &Forwarded,
+    forwarded: &ForwardedRequest,
     gate: Arc<Gate>,
-    taken: oneshot::Sender<()>,
+    accept_sender: oneshot::Sender<()>,
 ) -> Option<Request<Outgoing>> {
-    let left_ms = turn.ends_at.since(gateway.now());
-    let mut request = Request::new(Outgoing::held(turn.body.clone(), gate.clone()));
-    *request.method_mut() = turn.method.clone();
-    *request.uri_mut() = turn.uri.clone();
-    let mut headers = turn.headers.clone();
-    match &turn.towards {
-        Towards::Owner(order) => {
-            let order = RoutingDecision { left_ms, ..order.clone() };
-            let order = hex::encode(postcard::to_allocvec(&order).ok()?);
+    let left_ms = forwarded.deadline.since(gateway.now());
+    let mut request = Request::new(Outgoing::held(forwarded.body.clone(), gate.clone()));
+    *request.method_mut() = forwarded.method.clone();
+    *request.uri_mut() = forwarded.uri.clone();
+    let mut headers = forwarded.headers.clone();
+    match &forwarded.target {
+        ForwardTarget::Owner(routing) => {
+            let routing = RoutingDecision { left_ms, ..routing.clone() };
+            let routing = hex::encode(postcard::to_allocvec(&routing).ok()?);
             headers.remove(http::header::AUTHORIZATION);
-            headers.insert(ORDER_HEADER, HeaderValue::from_str(&order).ok()?);
+            headers.insert(ROUTING_HEADER, HeaderValue::from_str(&routing).ok()?);
         }
-        Towards::Fresh => {
+        ForwardTarget::FreshConfig => {
             headers.insert(RELAYED_HEADER, HeaderValue::from(left_ms));
         }
     }
-    *request.headers_mut() = end_to_end(headers);
-    let asks_first = HeaderValue::from_static("100-continue");
-    request.headers_mut().insert(http::header::EXPECT, asks_first);
-    let taken = Mutex::new(Some(taken));
+    *request.headers_mut() = strip_hop_by_hop_headers(headers);
+    let expect_continue = HeaderValue::from_static("100-continue");
+    request.headers_mut().insert(http::header::EXPECT, expect_continue);
+    let accept_sender = Mutex::new(Some(accept_sender));
     hyper::ext::on_informational(&mut request, move |_| {
         gate.open();
-        if let Some(taken) = taken.lock().ok().and_then(|mut taken| taken.take()) {
-            taken.send(()).unwrap_or_default();
+        if let Some(accept_sender) =
+            accept_sender.lock().ok().and_then(|mut accept_sender| accept_sender.take())
+        {
+            accept_sender.send(()).unwrap_or_default();
         }
     });
     (left_ms > 0).then_some(request)
 }
 
-/// The answer of an entry that does not own the shard.
-pub(super) fn moved() -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
+/// The response of an entry that does not own the shard.
+pub(super) fn not_owner_response() -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
     *response.status_mut() = StatusCode::MISDIRECTED_REQUEST;
-    response.headers_mut().insert(MOVED_HEADER, HeaderValue::from_static("1"));
+    response.headers_mut().insert(NOT_OWNER_HEADER, HeaderValue::from_static("1"));
     response
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -12,61 +12,65 @@
 use super::rates::{RowSelection, SenderAge};
 use super::shard_table::Owner;
 use super::state::Gateway;
-use super::writer::lose;
+use super::writer::end_ownership;
 use crate::mechanisms::Mechanism;
 use crate::prelude::*;
 use crate::replicas::AnswerCounts;
 
-/// Pause between two messages to the others while requests are running: what an entry takes
-/// out of a workspace's rate in this time must be small against its burst.
-const TELL_EVERY_MS: u64 = 100;
+/// Interval between two messages while requests are running, as long as the entries are few. What
+/// an entry admits for a workspace within this time must be small compared with the workspace's
+/// burst.
+const GOSSIP_INTERVAL_MS: u64 = 100;
 
-/// Messages that an entry sends in a second, to all others together: a tenth of a percent of
-/// a core; with more entries, each tells less often, and takes less in between.
+/// Messages per second that an entry sends to all others together, which costs about 0.1 % of a
+/// core. With more entries, each sends less often and also admits fewer requests in between.
 const MESSAGES_PER_S: u64 = 150;
 
-/// The longest pause between two messages: an entry that is silent for half a second counts
-/// as out of touch.
-const TELL_MOST_MS: u64 = 200;
+/// Longest interval between two messages: an entry not heard for half a second counts as out of
+/// touch.
+const MAX_GOSSIP_INTERVAL_MS: u64 = 200;
 
-/// The most bytes of a datagram: what a link carries in one frame.
-const DATAGRAM_MOST_BYTES: usize = 1_400;
+/// The largest datagram in bytes: what a link carries in one frame.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// The most rows of each list in one message, so that it fits a datagram; lists that are longer are
-/// told in turn.
-const ROWS_MOST: usize = 50;
+/// The most rows of each list in one message, so that it fits into a datagram. The rows of longer
+/// lists take turns.
+const MAX_ROWS: usize = 50;
 
-/// Shortest pause between two messages, whatever happens: what happens within it is told
-/// in one; ten times the way between two entries.
-const TELL_LEAST_MS: u64 = 20;
+/// Shortest pause between two messages, also if one is due at once: changes within it go out in one
+/// message. It is ten times the latency between two entries.
+const MIN_GOSSIP_PAUSE_MS: u64 = 20;
 
-/// Crashing requests are told for this long.
-const SUSPECTS_TOLD_MS: u64 = 5_000;
+/// How long after the last update of its crashes a suspected poison request is included in
+/// messages.
+const SUSPECT_GOSSIP_MS: u64 = 5_000;
 
-/// Pause between two reads of the list of entries while it can't be read: it only matters to
-/// an entry that starts; calls to a store in trouble are part of the trouble.
+/// Pause before a failed read of the list of entries is retried. The list matters only to an entry
+/// that starts, and more frequent calls would add to the load of a store in trouble.
 const PEERS_RETRY_MS: u64 = 400;
 
-/// Pause between two reads of the list of entries: a new entry tells all that it knows of;
-/// the list only finds those that were announced at the same moment.
-const PEERS_EVERY_MS: u64 = 10_000;
+/// Pause between two reads of the list of entries. A new entry sends messages to all entries that
+/// it reads there; further reads only find entries that announced themselves at the same moment.
+const PEERS_POLL_MS: u64 = 10_000;
 
-/// Distinguishes the life of a process from its earlier ones and from those of other VMs, some of
-/// which start within the same millisecond: entries that shared a number would have their counts
-/// mixed up, and rates would be exceeded. It orders nothing.
+/// The id of a process instance. It differs from those of earlier instances on the same VM, and of
+/// other VMs, some of which start within the same millisecond: the counts of entries that shared an
+/// id would be mixed up, and rates exceeded. Ids have no order.
 pub(super) fn instance_id(vm: &str, started: UnixMs) -> u64 {
     Digest::of(&[vm.as_bytes(), &started.0.to_be_bytes()]).prefix()
 }
 
-/// Announces this entry and follows the list of the others.
+/// Announces this entry in the store, then polls the list of the other entries.
 pub(super) async fn announce_and_follow_peers(gateway: Rc<Gateway>) {
-    let own = PeerRecord {
+    let this_entry = PeerRecord {
         name: gateway.settings.name.clone(),
         address: gateway.settings.peers,
         region: Some(gateway.settings.topology.region.clone()),
     };
-    while let Err(fault) = call_store(STORE_CALL_TIMEOUT_MS, gateway.store.announce(&own)).await {
-        log::warn!(fault:display; "this entry can't be announced");
+    while let Err(fault) =
+        call_store(STORE_CALL_TIMEOUT_MS, gateway.store.announce(&this_entry)).await
+    {
+        log::warn!(fault:display; "announcing this entry in the store failed; retrying");
         tokio::time::sleep(Duration::from_millis(PEERS_RETRY_MS)).await;
     }
     let mut failing = false;
@@ -74,14 +78,15 @@
         let pause_ms = match call_store(STORE_CALL_TIMEOUT_MS, gateway.store.peers()).await {
             Ok(records) => {
                 failing = false;
-                let others = records.into_iter().filter(|record| record.address != own.address);
+                let others =
+                    records.into_iter().filter(|record| record.address != this_entry.address);
                 let mut peers = gateway.peers.borrow_mut();
                 others.for_each(|peer| peers.upsert(gateway.now(), peer));
-                PEERS_EVERY_MS
+                PEERS_POLL_MS
             }
             Err(fault) => {
                 if !std::mem::replace(&mut failing, true) {
-                    log::warn!(fault:display; "the list of entries can't be read");
+                    log::warn!(fault:display; "reading the list of entries failed; retrying");
                 }
                 PEERS_RETRY_MS
             }
@@ -91,47 +96,49 @@
     }
 }
 
-/// Tells the other entries what this one owns, runs and admits, for as long as the process lives.
+/// Sends the other entries what this one owns, runs and admits, until the process ends.
 pub(super) async fn send_gossip(gateway: Rc<Gateway>, socket: Rc<UdpSocket>, instance: u64) {
-    let mut told = None;
-    let mut told_at = TimeMs::default();
+    let mut last_sent = None;
+    let mut last_sent_at = TimeMs::default();
     let mut round = 0;
     loop {
         let now = gateway.now();
         let pause_ms = pause_ms(gateway.peers.borrow().addresses().len() as u64);
         if let Some((gossip, bytes)) = encode(&gateway, instance, round)
-            && (told.as_ref() != Some(&gossip) || now.since(told_at) >= TELL_MOST_MS)
+            && (last_sent.as_ref() != Some(&gossip)
+                || now.since(last_sent_at) >= MAX_GOSSIP_INTERVAL_MS)
         {
-            tell(&gateway, &socket, &bytes).await;
-            told = Some(gossip);
-            told_at = now;
+            send_to_peers(&gateway, &socket, &bytes).await;
+            last_sent = Some(gossip);
+            last_sent_at = now;
             round += 1;
         }
-        let senders = gateway.peers.borrow().senders();
-        gateway.directory.borrow_mut().update_entries(now, senders);
-        for address in gateway.peers.borrow_mut().fallen_silent(now) {
-            log::info!(address:display; "an entry has fallen silent");
+        let heard_entry_hashes = gateway.peers.borrow().heard_entry_hashes();
+        gateway.directory.borrow_mut().update_entries(now, heard_entry_hashes);
+        for address in gateway.peers.borrow_mut().take_silent(now) {
+            log::info!(address:display; "no recent message from an entry; forgetting its shards");
             gateway.shards.forget_owner(address, None);
         }
-        tokio::time::sleep(Duration::from_millis(TELL_LEAST_MS)).await;
+        tokio::time::sleep(Duration::from_millis(MIN_GOSSIP_PAUSE_MS)).await;
         tokio::select! {
-            () = tokio::time::sleep(Duration::from_millis(pause_ms - TELL_LEAST_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(pause_ms - MIN_GOSSIP_PAUSE_MS)) => {}
             () = gateway.gossip_due.notified() => {}
         }
     }
 }
 
-/// The pause between two messages to so many others.
+/// The interval between two messages if there are this many other entries.
 fn pause_ms(others: u64) -> u64 {
-    (others * 1_000 / MESSAGES_PER_S).clamp(TELL_EVERY_MS, TELL_MOST_MS)
+    (others * 1_000 / MESSAGES_PER_S).clamp(GOSSIP_INTERVAL_MS, MAX_GOSSIP_INTERVAL_MS)
 }
 
+/// Builds the message of this round, with at most `rows` rows in each list.
 fn compose(gateway: &Gateway, instance: u64, round: usize, rows: usize) -> GossipMessage {
-    let own = gateway.shards.all_owned();
-    let serving = own.iter().filter(|shard| shard.stage() == Stage::Serving);
+    let owned = gateway.shards.all_owned();
+    let serving = owned.iter().filter(|shard| shard.stage() == Stage::Serving);
     let now = gateway.now();
     let include_all = gateway.peers.borrow().has_newcomer(now);
-    let telling = RowSelection { round, include_all };
+    let selection = RowSelection { round, include_all };
     let directory = gateway.directory.borrow();
     let running = directory.all().filter(|(_, replica)| replica.in_flight > 0);
     let answers = directory.all().filter_map(|(_, replica)| {
@@ -142,7 +149,7 @@
         instance,
         name: gateway.settings.name.clone(),
         leaving: gateway.draining.get(),
-        store_unreachable: gateway.reachability.is_away(now),
+        store_unreachable: gateway.reachability.is_unreachable(now),
         recently_started: now.0 < gateway.settings.bounds.rate_window_ms,
         generation: gateway.shards.generation(),
         shards: serving.map(|shard| (shard.number, shard.epoch)).collect(),
@@ -152,118 +159,126 @@
             as_of: directory.evacuations().as_of(),
             domains: directory.evacuations().domains().clone(),
         },
-        taken: rotating_slice(gateway.rates.borrow_mut().rows_to_send(now, telling), round, rows),
+        taken: rotating_slice(gateway.rates.borrow_mut().rows_to_send(now, selection), round, rows),
         suspects: rotating_slice(
-            gateway.suspects.borrow().recent(now, SUSPECTS_TOLD_MS),
+            gateway.suspects.borrow().recent(now, SUSPECT_GOSSIP_MS),
             round,
             rows,
         ),
     }
 }
 
-/// The largest message that fits a datagram.
+/// Encodes the message, with fewer rows in each list until it fits into a datagram.
 fn encode(gateway: &Gateway, instance: u64, round: usize) -> Option<(GossipMessage, Vec<u8>)> {
-    let mut rows = ROWS_MOST;
+    let mut rows = MAX_ROWS;
     while rows > 0 {
         let gossip = compose(gateway, instance, round, rows);
         match postcard::to_allocvec(&gossip) {
-            Ok(bytes) if bytes.len() <= DATAGRAM_MOST_BYTES => return Some((gossip, bytes)),
+            Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => return Some((gossip, bytes)),
             Ok(_) => rows /= 2,
             Err(fault) => {
-                log::error!(fault:display; "a message to the peers can't be encoded");
+                log::error!(fault:display; "encoding a gossip message failed; sending nothing");
                 return None;
             }
         }
     }
-    log::error!("a message to the peers is too long without any rows");
+    log::error!("gossip message too large for a datagram with one row per list; sending nothing");
     None
 }
 
-async fn tell(gateway: &Gateway, socket: &UdpSocket, bytes: &[u8]) {
+async fn send_to_peers(gateway: &Gateway, socket: &UdpSocket, bytes: &[u8]) {
     let addresses = gateway.peers.borrow().addresses();
     for address in addresses {
         if let Err(fault) = socket.send_to(bytes, address).await {
-            log::debug!(address:display, fault:display; "a message to a peer was not sent");
+            log::debug!(address:display, fault:display; "sending a gossip message failed");
         }
     }
 }
 
-/// Takes the other entries' messages in, for as long as the process lives.
+/// Receives the messages of the other entries until the process ends.
 pub(super) async fn receive_gossip(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; 2 * DATAGRAM_MOST_BYTES];
+    let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => match postcard::from_bytes::<GossipMessage>(&buffer[..length]) {
                 Ok(gossip) => apply_message(&gateway, from, &gossip),
-                Err(fault) => log::warn!(from:display, fault:display; "an unreadable message"),
+                Err(fault) => {
+                    log::warn!(from:display, fault:display;
+                        "discarding an undecodable gossip message")
+                }
             },
             Err(fault) => {
-                log::warn!(fault:display; "messages of the peers can't be received");
-                tokio::time::sleep(Duration::from_millis(TELL_EVERY_MS)).await;
+                log::warn!(fault:display; "receiving gossip messages failed; retrying");
+                tokio::time::sleep(Duration::from_millis(GOSSIP_INTERVAL_MS)).await;
             }
         }
     }
 }
 
+/// Applies a message to all that this entry keeps about the others.
 pub(super) fn apply_message(gateway: &Rc<Gateway>, from: SocketAddr, gossip: &GossipMessage) {
     let now = gateway.now();
-    let heard = gateway.peers.borrow_mut().record_message(now, from, gossip);
-    if heard.first {
-        log::info!(peer:% = gossip.name; "an entry was heard for the first time");
+    let outcome = gateway.peers.borrow_mut().record_message(now, from, gossip);
+    if outcome.first_message {
+        log::info!(peer:% = gossip.name;
+            "first gossip message from a process instance of an entry");
         gateway.gossip_due.notify_one();
     }
     for (shard, epoch) in &gossip.shards {
-        gateway.shards.told(*shard, Owner { address: from, epoch: *epoch });
-        give_up_to(gateway, *shard, *epoch);
+        gateway.shards.update_remote_owner(*shard, Owner { address: from, epoch: *epoch });
+        release_fenced_shard(gateway, *shard, *epoch);
     }
-    let settles = gateway.is_enabled(Mechanism::FastReassignment);
-    if settles && gossip.generation > gateway.shards.generation() {
+    let renews_early = gateway.is_enabled(Mechanism::FastReassignment);
+    if renews_early && gossip.generation > gateway.shards.generation() {
         gateway.renew_membership();
     }
-    let relieves = gateway.is_enabled(Mechanism::PeerDeregistration);
-    if relieves
+    let deregisters_peers = gateway.is_enabled(Mechanism::PeerDeregistration);
+    if deregisters_peers
         && gossip.store_unreachable
         && !gossip.shards.is_empty()
-        && gateway.reachability.is_sound(now)
+        && gateway.reachability.is_stable(now)
     {
-        relieve(gateway, from);
+        deregister_unreachable(gateway, from);
     }
-    let known = SenderAge { since: heard.since, recently_started: gossip.recently_started };
-    gateway.rates.borrow_mut().apply_remote(now, gossip.instance, &gossip.taken, known);
+    let sender_age =
+        SenderAge { since: outcome.first_heard_at, recently_started: gossip.recently_started };
+    gateway.rates.borrow_mut().apply_remote(now, gossip.instance, &gossip.taken, sender_age);
     let mut suspects = gateway.suspects.borrow_mut();
     gossip.suspects.iter().for_each(|(request, crashes)| suspects.merge(now, *request, *crashes));
     let mut directory = gateway.directory.borrow_mut();
     directory.update_evacuations(now, gossip.evacuated.as_of, gossip.evacuated.domains.clone());
     let peers = gateway.peers.borrow();
-    for endpoint in heard.changed {
+    for endpoint in outcome.changed_endpoints {
         if let Some(key) = directory.find_by_hash(endpoint) {
             directory.set_others_in_flight(key, peers.running(endpoint));
         }
     }
-    let shares =
+    let shares_health =
         gateway.is_enabled(Mechanism::Health) && gateway.is_enabled(Mechanism::SharedHealth);
-    for (endpoint, failures, served) in gossip.answers.iter().filter(|_| shares) {
+    for (endpoint, failures, served) in gossip.answers.iter().filter(|_| shares_health) {
         if let Some(key) = directory.find_by_hash(*endpoint) {
             let answers = AnswerCounts { failures: *failures, served: *served };
-            directory.merge_answers(now, key, gossip.instance, answers, heard.first);
+            directory.merge_answers(now, key, gossip.instance, answers, outcome.first_message);
         }
     }
 }
 
-/// Another entry serves a shard under a later epoch: the store has fenced this one off. One that is
-/// cut off from the store learns it from nobody else, and would run turns that it can't record.
-fn give_up_to(gateway: &Gateway, shard: u32, epoch: u64) {
-    if let Some(own) = gateway.shards.owned(shard).filter(|own| own.epoch < epoch) {
-        log::info!(shard, epoch = own.epoch, later = epoch; "a shard has a later owner");
-        lose(gateway, &own);
+/// Gives up a shard that another entry serves under a later epoch, as the store has fenced this
+/// one. An entry that is cut off from the store learns so only by gossip; without it, it would go
+/// on running turns that it can't record.
+fn release_fenced_shard(gateway: &Gateway, shard: u32, epoch: u64) {
+    if let Some(owned) = gateway.shards.owned(shard).filter(|owned| owned.epoch < epoch) {
+        log::info!(shard, epoch = owned.epoch, later = epoch;
+            "another entry owns the shard under a later epoch; giving it up");
+        end_ownership(gateway, &owned);
     }
 }
 
-/// An entry that owns shards does not reach the store, which is sound here: its shards are dealt anew
-/// at once instead of after its membership has lapsed.
-fn relieve(gateway: &Rc<Gateway>, address: SocketAddr) {
+/// Deregisters an entry that owns shards but can't reach the store, while this one can. Its shards
+/// are then reassigned at once instead of when its membership expires.
+fn deregister_unreachable(gateway: &Rc<Gateway>, address: SocketAddr) {
     let now = gateway.now();
-    if gateway.peers.borrow_mut().takes_relief(now, address, gateway.settings.peers) {
+    if gateway.peers.borrow_mut().should_deregister(now, address, gateway.settings.peers) {
         let gateway = gateway.clone();
         tokio::task::spawn_local(async move { deregister(&gateway, address).await });
     }
--- a/src/gateway/handoff.rs
+++ b/src/gateway/handoff.rs
@@ -1,8 +1,8 @@
-//! Turns that ended after their shard had gone to another owner.
+//! Handoff of turns that finished after their shard had gone to another owner.
 //!
-//! An owner that is cut off from the store, or whose shard is dealt anew, may have run turns that it
-//! can no longer record. The tokens are generated and the caller waits: the next owner records such
-//! a turn, and only then does its end reach the caller.
+//! An owner that is cut off from the store, or whose shard is reassigned, may have run turns that
+//! it can no longer record. The tokens are generated and the caller is waiting, so the next owner
+//! records such a turn, and only then does the end of its answer reach the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,36 +22,37 @@
 use crate::prelude::*;
 use crate::turns::{Ledger, ProgramKey, Record, Turn, TurnKey};
 
-/// Where an entry takes other entries' turns over.
+/// The path of requests that hand off a turn to another entry.
 pub(super) const HANDOFF_PATH: &str = "/record-turn";
 
-/// The longest wait for one answer: the other entry appends the turn, which takes some ten
-/// milliseconds, and a quarter of a second when the store is slow.
-const ANSWER_MOST_MS: u64 = 600;
+/// Time limit of one handoff request. The other entry appends the turn to the store, which takes
+/// about 10 ms, and 250 ms when the store is slow.
+const MAX_ANSWER_WAIT_MS: u64 = 600;
 
-/// Pause between two looks for the next owner.
-const LOOK_AGAIN_MS: u64 = 20;
+/// Pause between two checks for the next owner.
+const OWNER_POLL_MS: u64 = 20;
 
-/// The most bytes of a turn: what a caller may send, and an answer.
-const BEQUEST_MOST_BYTES: usize = 8 << 20;
+/// The largest turn in bytes: room for the largest request of a caller and an answer.
+const MAX_HANDOFF_BYTES: usize = 8 << 20;
 
-/// A turn that its owner could not record.
+/// A finished turn that its owner could not record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct TurnHandoff {
-    /// What was asked and answered, where the history is kept.
+    /// The turn with its input and output; none if its history is not kept.
     pub(super) turn: Option<(TurnKey, Turn)>,
-    /// Its program.
+    /// The account of the turn's program.
     pub(super) program: ProgramKey,
-    /// Tokens that the program may generate in all.
+    /// The token budget of the whole program.
     pub(super) budget: u64,
-    /// Tokens of the turn that no durable record has reserved.
+    /// The tokens of the turn that no durable record has reserved.
     pub(super) unreserved: u64,
-    /// The program's account is kept at least until then.
+    /// The time until which the program's account must be kept at least.
     pub(super) kept_until: UnixMs,
 }
 
-/// Has the shard's next owner record the turn; `false` if the time was over before, or the next owner
-/// must not.
+/// Hands a turn off to the shard's next owner, which may be this process again, and waits until it
+/// is recorded. Returns `false` if that has not happened by `ends_at`, or the next owner has
+/// rejected it.
 pub(super) async fn hand_off(
     gateway: &Rc<Gateway>,
     handoff: &TurnHandoff,
@@ -60,17 +61,19 @@
 ) -> bool {
     let shard = handoff.program.shard(gateway.shards.count());
     let Ok(body) = postcard::to_allocvec(handoff).map(Bytes::from) else {
-        log::error!("a turn can't be encoded for its shard's next owner");
+        log::error!("encoding a turn for handoff failed; it stays unrecorded");
         return false;
     };
     while gateway.now() < ends_at {
-        if let Some(own) = gateway.shards.owned(shard).filter(|own| own.stage() == Stage::Serving) {
-            return record(&own, handoff).await;
+        if let Some(owned) =
+            gateway.shards.owned(shard).filter(|shard| shard.stage() == Stage::Serving)
+        {
+            return record(&owned, handoff).await;
         }
         let owner = gateway.shards.remote_owner(shard);
         if let Some(owner) = owner.filter(|owner| gateway.may_forward_to(owner.address, regions)) {
             let answer = send(gateway, owner.address, body.clone());
-            match timeout(Duration::from_millis(ANSWER_MOST_MS), answer).await {
+            match timeout(Duration::from_millis(MAX_ANSWER_WAIT_MS), answer).await {
                 Ok(Some(StatusCode::OK)) => return true,
                 Ok(Some(StatusCode::CONFLICT)) => return false,
                 Ok(Some(_)) => gateway.shards.forget_owner(owner.address, Some(shard)),
@@ -79,7 +82,7 @@
         }
         tokio::select! {
             () = gateway.shards.changed.notified() => {}
-            () = tokio::time::sleep(Duration::from_millis(LOOK_AGAIN_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(OWNER_POLL_MS)) => {}
         }
     }
     false
@@ -99,11 +102,11 @@
     Some(head.status)
 }
 
-/// Records a turn of the shard's last owner.
+/// Records a turn handed off by the shard's previous owner. Returns whether it is durable now.
 ///
-/// A turn whose parent is not held here is refused: its chain would have a gap. So is one whose tokens
-/// were never reserved and no longer fit the budget, since turns of the same program may have begun
-/// here since.
+/// A turn whose parent is not in the ledger is rejected, since its chain would have a gap. So is a
+/// turn whose tokens were never reserved and no longer fit the budget: other turns of the same
+/// program may have started here in the meantime.
 async fn record(shard: &OwnedShard, handoff: &TurnHandoff) -> bool {
     let records = {
         let mut ledger = shard.ledger.borrow_mut();
@@ -111,9 +114,10 @@
         if parent.is_some_and(|parent| ledger.turn(parent).is_none()) {
             return false;
         }
-        // The last owner's append may have been done although it was not answered.
-        let known = handoff.turn.as_ref().is_some_and(|(key, _)| ledger.turn(*key).is_some());
-        if known { Some(Vec::new()) } else { take_over(&mut ledger, handoff) }
+        // The previous owner's append may have succeeded although it got no answer.
+        let already_recorded =
+            handoff.turn.as_ref().is_some_and(|(key, _)| ledger.turn(*key).is_some());
+        if already_recorded { Some(Vec::new()) } else { records_to_append(&mut ledger, handoff) }
     };
     match records {
         Some(records) => shard.writer.append(records).await.is_ok(),
@@ -121,8 +125,8 @@
     }
 }
 
-/// The records that make a turn durable; nothing if its tokens do not fit the budget.
-fn take_over(ledger: &mut Ledger, handoff: &TurnHandoff) -> Option<Vec<Record>> {
+/// The records that make a turn durable; `None` if its tokens do not fit the budget.
+fn records_to_append(ledger: &mut Ledger, handoff: &TurnHandoff) -> Option<Vec<Record>> {
     let TurnHandoff { program, budget, unreserved, kept_until, .. } = *handoff;
     let charged = ledger.charge(program, budget, unreserved, kept_until).ok()?;
     let turn = handoff.turn.clone();
@@ -130,12 +134,12 @@
     Some(charged.into_iter().chain(completed).collect())
 }
 
-/// Answers another entry that has a turn to be recorded here.
+/// Serves the request of another entry that hands off a turn.
 pub(super) async fn accept_handoff(
     gateway: &Gateway,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let body = Limited::new(request.into_body(), BEQUEST_MOST_BYTES).collect().await;
+    let body = Limited::new(request.into_body(), MAX_HANDOFF_BYTES).collect().await;
     let handoff =
         body.ok().and_then(|body| postcard::from_bytes::<TurnHandoff>(&body.to_bytes()).ok());
     let Some(handoff) = handoff else {
@@ -146,7 +150,8 @@
         return status_response(StatusCode::MISDIRECTED_REQUEST);
     };
     let recorded = record(&shard, &handoff).await;
-    log::info!(shard = shard.number, epoch = shard.epoch, recorded; "a turn of the last owner");
+    log::info!(shard = shard.number, epoch = shard.epoch, recorded;
+        "turn handed off by the previous owner of its shard");
     match recorded {
         true => status_response(StatusCode::OK),
         false if shard.stage() == Stage::Lost => status_response(StatusCode::MISDIRECTED_REQUEST),
--- a/src/gateway/membership.rs
+++ b/src/gateway/membership.rs
@@ -1,4 +1,5 @@
-//! Shards dealt to this process by the store's group, taken and given up.
+//! Membership in the store's group of owners, and taking over and releasing the shards that the
+//! group assigns to this process.
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -8,86 +9,91 @@
 use super::call_store::{STORE_CALL_TIMEOUT_MS, call_store};
 use super::owned_shard::{OwnedShard, Stage};
 use super::state::Gateway;
-use super::writer::{lose, write_records};
+use super::writer::{end_ownership, run_writer};
 use super::{Append, Assignment, StoreError};
 use crate::mechanisms::Mechanism;
 use crate::prelude::*;
 
-/// Pause between two calls that keep the membership: a third of the shortest life of a
-/// member that has fallen silent, so that two calls may fail.
+/// Pause between two calls that renew the membership: a third of the shortest time after which a
+/// membership without renewal expires, so that two calls in a row may fail.
 const RENEW_MS: u64 = 400;
 
-/// Pause after a call that brought a new deal. A shard that changes hands takes several calls: its last
-/// owner shows that it has let go, and only then does the next one hear that it is its own. At the usual
-/// pace turns find no owner for most of a second after each change.
-const SETTLE_MS: u64 = 50;
+/// Pause after a call that returned a new assignment. Moving a shard takes several calls: its
+/// previous owner confirms that it has released the shard, and only then is it assigned to the next
+/// one. At the regular interval, turns would find no owner for most of a second after each change.
+const REASSIGNMENT_RENEW_MS: u64 = 50;
 
-/// Pause before a failed call is made again.
+/// Pause before a failed call is retried.
 const RETRY_MS: u64 = 50;
 
-/// How long turns under way may hold a shard that was dealt to another: ten mean turns.
-const HANDOVER_MOST_MS: u64 = 1_000;
+/// How long turns in flight may delay the release of a shard that was reassigned: ten times the
+/// mean duration of a turn.
+const MAX_RELEASE_MS: u64 = 1_000;
 
-/// Pause between two looks at what is forgotten.
-const EXPIRE_EVERY_MS: u64 = 5_000;
+/// Interval at which expired records are removed from a shard.
+const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
-/// Room for the shards that one process takes within one generation, in the number of an epoch.
-const TAKES_PER_GENERATION: u64 = 1 << 16;
+/// The number of epochs reserved for each generation, one for each time that this process takes a
+/// shard within it.
+const EPOCHS_PER_GENERATION: u64 = 1 << 16;
 
-/// What a deal has changed here.
-enum Followed {
+/// What an assignment has changed here.
+enum AssignmentChange {
     Unchanged,
     Changed,
-    /// Shards were handed over; the store should hear of it at once.
-    HandedOver,
+    /// Shards were released; the store should learn so at once.
+    Released,
 }
 
-/// This process's membership in the group of owners.
+/// This process's membership in the group of entries that own shards.
 pub(super) struct Membership {
     gateway: Rc<Gateway>,
     member: Arc<str>,
-    takes: Cell<u64>,
+    epochs_used: Cell<u64>,
 }
 
 impl Membership {
     pub(super) fn open(gateway: Rc<Gateway>) -> Rc<Membership> {
         let member = gateway.settings.name.clone();
-        Rc::new(Membership { gateway, member, takes: Cell::new(0) })
+        Rc::new(Membership { gateway, member, epochs_used: Cell::new(0) })
     }
 
-    /// Keeps the membership for as long as the process lives.
+    /// Renews the membership until the process drains.
     ///
-    /// While the store is away, no call to join is made: answers may be lost on the way back only, and
-    /// a member that keeps joining without hearing of it would hold shards that nobody serves. The
-    /// feeds tell when the store is back.
+    /// While the store is unreachable, no renewals are sent: if only the answers are lost, a member
+    /// that keeps renewing would be assigned shards that it doesn't know of and nobody serves. The
+    /// calls that read the feeds detect when the store is reachable again.
     ///
-    /// The member's name is that of the VM: what an earlier life of this process still holds in the
-    /// group is freed at once by its leaving, instead of staying unserved until it lapses.
+    /// The member is named after the VM. An earlier process instance may still be a member under
+    /// the same name; leaving first frees its shards at once, which otherwise stay unserved until
+    /// that membership expires.
     pub(super) async fn maintain(self: Rc<Self>) {
         if let Err(fault) =
             call_store(STORE_CALL_TIMEOUT_MS, self.gateway.store.leave(&self.member)).await
         {
-            log::warn!(fault:display; "an earlier life could not be signed off");
+            log::warn!(fault:display;
+                "deregistering the earlier process instance failed; its membership will expire");
         }
-        // Turns of a shard come here from all entries. Owned before the endpoints are known, each would be
-        // refused for want of an endpoint, though all of them are there.
+        // The owner of a shard gets its turns from all entries. If it did not know the endpoints
+        // yet, it would refuse them all for lack of an endpoint, although the endpoints are
+        // running.
         self.gateway.endpoint_list.wait_until_read().await;
         while !self.gateway.draining.get() {
-            if self.gateway.reachability.is_away(self.gateway.now()) {
+            if self.gateway.reachability.is_unreachable(self.gateway.now()) {
                 tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
                 continue;
             }
             let pause_ms = match self.join().await {
-                Ok(deal) => {
+                Ok(assignment) => {
                     self.gateway.reachability.record_success(self.gateway.now());
-                    match self.follow(deal).await {
-                        Followed::HandedOver => continue,
-                        Followed::Changed
+                    match self.apply_assignment(assignment).await {
+                        AssignmentChange::Released => continue,
+                        AssignmentChange::Changed
                             if self.gateway.is_enabled(Mechanism::FastReassignment) =>
                         {
-                            SETTLE_MS
+                            REASSIGNMENT_RENEW_MS
                         }
-                        Followed::Changed | Followed::Unchanged => RENEW_MS,
+                        AssignmentChange::Changed | AssignmentChange::Unchanged => RENEW_MS,
                     }
                 }
                 Err(fault) => {
@@ -97,7 +103,7 @@
             };
             tokio::select! {
                 () = tokio::time::sleep(Duration::from_millis(pause_ms)) => {}
-                () = self.gateway.renew.notified() => {}
+                () = self.gateway.renewal_due.notified() => {}
             }
         }
     }
@@ -110,97 +116,102 @@
         .await
     }
 
-    /// Follows a deal.
+    /// Applies an assignment.
     ///
-    /// A shard that was dealt to another is that other's only once this member has shown the new
-    /// generation, so that turns under way may end first.
-    async fn follow(&self, deal: Assignment) -> Followed {
-        if deal.generation == self.gateway.shards.generation() {
-            self.take_new(&deal);
-            return Followed::Unchanged;
+    /// A shard that moves to another member is assigned to it only once this member has confirmed
+    /// the new generation, so that turns in flight can finish first.
+    async fn apply_assignment(&self, assignment: Assignment) -> AssignmentChange {
+        if assignment.generation == self.gateway.shards.generation() {
+            self.take_assigned(&assignment);
+            return AssignmentChange::Unchanged;
         }
-        let kept: HashSet<u32> = deal.shards.iter().copied().collect();
-        let leaving: Vec<_> = self.gateway.shards.all_owned();
-        let leaving: Vec<_> = leaving.into_iter().filter(|s| !kept.contains(&s.number)).collect();
-        log::info!(generation = deal.generation, shards:? = deal.shards; "shards were dealt");
-        hand_over(&self.gateway, &leaving).await;
-        self.gateway.shards.dealt(deal.generation);
+        let kept: HashSet<u32> = assignment.shards.iter().copied().collect();
+        let to_release: Vec<_> = self.gateway.shards.all_owned();
+        let to_release: Vec<_> =
+            to_release.into_iter().filter(|s| !kept.contains(&s.number)).collect();
+        log::info!(generation = assignment.generation, shards:? = assignment.shards;
+            "new assignment of shards");
+        release_shards(&self.gateway, &to_release).await;
+        self.gateway.shards.set_generation(assignment.generation);
         self.gateway.gossip_due.notify_one();
-        self.take_new(&deal);
-        match leaving.is_empty() {
-            true => Followed::Changed,
-            false => Followed::HandedOver,
+        self.take_assigned(&assignment);
+        match to_release.is_empty() {
+            true => AssignmentChange::Changed,
+            false => AssignmentChange::Released,
         }
     }
 
-    /// Takes what was dealt and is not held. Each take has an epoch of its own, also when a shard
-    /// that was lost is taken again within one generation.
-    fn take_new(&self, deal: &Assignment) {
-        for number in &deal.shards {
+    /// Takes over the assigned shards that are not owned yet. Each time gets a new epoch, also if a
+    /// shard is lost and taken again within one generation.
+    fn take_assigned(&self, assignment: &Assignment) {
+        for number in &assignment.shards {
             if self.gateway.shards.owned(*number).is_none() {
-                self.takes.set((self.takes.get() + 1) % TAKES_PER_GENERATION);
-                let epoch = deal.generation * TAKES_PER_GENERATION + self.takes.get();
+                self.epochs_used.set((self.epochs_used.get() + 1) % EPOCHS_PER_GENERATION);
+                let epoch = assignment.generation * EPOCHS_PER_GENERATION + self.epochs_used.get();
                 let shard = OwnedShard::open(*number, epoch);
-                self.gateway.shards.take(shard.clone());
+                self.gateway.shards.insert_owned(shard.clone());
                 tokio::task::spawn_local(serve_shard(self.gateway.clone(), shard));
             }
         }
     }
 
-    /// Gives all shards to the other members.
+    /// Releases all shards and leaves the group, so that the other members get them.
     pub(super) async fn leave(&self) {
-        hand_over(&self.gateway, &self.gateway.shards.all_owned()).await;
+        release_shards(&self.gateway, &self.gateway.shards.all_owned()).await;
         if let Err(fault) =
             call_store(STORE_CALL_TIMEOUT_MS, self.gateway.store.leave(&self.member)).await
         {
-            log::warn!(fault:display; "the shards could not be signed off; they lapse");
+            log::warn!(fault:display;
+                "leaving the group of owners failed; the membership will expire");
         }
         self.gateway.gossip_due.notify_one();
     }
 }
 
-async fn hand_over(gateway: &Gateway, leaving: &[Rc<OwnedShard>]) {
-    leaving.iter().for_each(|shard| shard.enter(Stage::Leaving));
+/// Releases shards once their turns in flight have finished, or the time limit is over.
+async fn release_shards(gateway: &Gateway, to_release: &[Rc<OwnedShard>]) {
+    to_release.iter().for_each(|shard| shard.set_stage(Stage::Draining));
     let started = gateway.now();
-    while leaving.iter().any(|shard| shard.turns() > 0)
-        && gateway.now().since(started) < HANDOVER_MOST_MS
+    while to_release.iter().any(|shard| shard.turns_in_flight() > 0)
+        && gateway.now().since(started) < MAX_RELEASE_MS
     {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    leaving.iter().for_each(|shard| lose(gateway, shard));
+    to_release.iter().for_each(|shard| end_ownership(gateway, shard));
 }
 
-/// Takes a shard over, then serves it until it is lost.
+/// Takes over a shard, then serves it until it is lost.
 async fn serve_shard(gateway: Rc<Gateway>, shard: Rc<OwnedShard>) {
     if let Err(fault) = load(&gateway, &shard).await {
         log::warn!(shard = shard.number, epoch = shard.epoch, fault:display;
-            "a shard could not be taken over");
-        return lose(&gateway, &shard);
+            "taking over a shard failed; giving it up");
+        return end_ownership(&gateway, &shard);
     }
-    shard.enter(Stage::Serving);
-    log::info!(shard = shard.number, epoch = shard.epoch; "a shard is served");
+    shard.set_stage(Stage::Serving);
+    log::info!(shard = shard.number, epoch = shard.epoch; "serving a shard");
     gateway.shards.changed.notify_waiters();
     gateway.gossip_due.notify_one();
     tokio::select! {
-        () = write_records(gateway.clone(), shard.clone()) => {}
-        () = forget_old(&gateway, &shard) => {}
+        () = run_writer(gateway.clone(), shard.clone()) => {}
+        () = remove_expired_records(&gateway, &shard) => {}
     }
 }
 
-/// Fences the earlier owner off, then reads what it has left. Nobody else writes meanwhile, so that
-/// the pages fit together.
+/// Fences the previous owner by appending under the new epoch, then reads the shard's records.
+/// Since nobody else can write in the meantime, the pages are consistent with each other.
 async fn load(gateway: &Gateway, shard: &OwnedShard) -> Result<(), StoreError> {
     let claim =
         Append { shard: shard.number, epoch: shard.epoch, sequence: 0, records: Vec::new() };
-    persist(shard, || gateway.store.append(&claim)).await?;
+    retry(shard, || gateway.store.append(&claim)).await?;
     let mut after = None;
     loop {
         let page =
-            persist(shard, || gateway.store.newest_records(shard.number, after.clone())).await?;
+            retry(shard, || gateway.store.newest_records(shard.number, after.clone())).await?;
         let mut ledger = shard.ledger.borrow_mut();
         for (key, value) in &page.items {
             if let Err(fault) = ledger.load(key, value) {
-                log::error!(shard = shard.number, fault:display; "a record was passed over");
+                log::error!(shard = shard.number, fault:display;
+                    "skipping a record that can't be loaded");
             }
         }
         match page.next {
@@ -210,8 +221,8 @@
     }
 }
 
-/// Makes a call until it is answered, or the shard is another's.
-async fn persist<T, F: Future<Output = Result<T, StoreError>>>(
+/// Retries a call until it succeeds, the shard is lost, or the error is final.
+async fn retry<T, F: Future<Output = Result<T, StoreError>>>(
     shard: &OwnedShard,
     call: impl Fn() -> F,
 ) -> Result<T, StoreError> {
@@ -227,9 +238,10 @@
     }
 }
 
-async fn forget_old(gateway: &Gateway, shard: &OwnedShard) {
+/// Removes expired records from the ledger and the store.
+async fn remove_expired_records(gateway: &Gateway, shard: &OwnedShard) {
     loop {
-        tokio::time::sleep(Duration::from_millis(EXPIRE_EVERY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(EXPIRY_INTERVAL_MS)).await;
         let dropped = shard.ledger.borrow_mut().expire(gateway.unix());
         if !dropped.is_empty() {
             drop(shard.writer.append(dropped));
--- a/src/gateway/message.rs
+++ b/src/gateway/message.rs
@@ -4,79 +4,82 @@
 use crate::quota::UsageTotals;
 use crate::turns::{Turn, TurnKey};
 
-/// What an entry tells the others, in one datagram. All of it is absolute, so that a lost one is
-/// made good by the next.
+/// A gossip message, by which an entry reports its state to the others in one datagram. All values
+/// are absolute rather than increments, so that the next message makes up for a lost one.
 #[wire]
 pub(super) struct GossipMessage {
-    /// Distinguishes the lives of one VM's process.
+    /// Identifies the process instance that sends it.
     pub(super) instance: u64,
-    /// The name of the VM.
+    /// The name of the VM that it runs on.
     pub(super) name: Arc<str>,
-    /// Whether it is shutting down.
+    /// Whether the sender is shutting down.
     pub(super) leaving: bool,
-    /// Whether it does not reach the store.
+    /// Whether the sender can't reach the store.
     pub(super) store_unreachable: bool,
-    /// Whether it has lived for less than a window of the rates: all that it took is in the window.
+    /// Whether the process has run for less than one rate window, so that all it ever admitted
+    /// falls within the window.
     pub(super) recently_started: bool,
-    /// The generation of the deal that it follows.
+    /// The generation of the latest shard assignment that the sender has applied.
     pub(super) generation: u64,
-    /// The shards that it owns, with their epochs.
+    /// The shards that the sender serves, with their epochs.
     pub(super) shards: Vec<(u32, u64)>,
-    /// Requests that it has running, by endpoint.
+    /// The number of requests that the sender has running, by the hash of the endpoint.
     pub(super) running: Vec<(u64, u32)>,
-    /// Requests admitted, by workspace.
+    /// What the sender has admitted, by workspace.
     pub(super) taken: Vec<WorkspaceUsage>,
-    /// Answers of the endpoints that have failed of late: endpoint, failures, answers.
+    /// Endpoints that have failed recently: hash of the endpoint, failures, successful answers.
     pub(super) answers: Vec<(u64, u32, u32)>,
-    /// What is evacuated, as far as it knows.
+    /// The evacuated failure domains, as far as the sender knows.
     pub(super) evacuated: EvacuationState,
-    /// Requests that crash endpoints, with their crashes.
+    /// Requests suspected of crashing endpoints: hash of the request, crashes.
     pub(super) suspects: Vec<(u64, u32)>,
 }
 
-/// At most so many rows, others in each round.
-pub(super) fn rotating_slice<T>(mut rows: Vec<T>, round: usize, most: usize) -> Vec<T> {
-    if rows.len() > most {
-        let start = (round * most) % rows.len();
+/// Limits a list to `max_rows` rows, choosing the next ones in each round so that all get their
+/// turn.
+pub(super) fn rotating_slice<T>(mut rows: Vec<T>, round: usize, max_rows: usize) -> Vec<T> {
+    if rows.len() > max_rows {
+        let start = (round * max_rows) % rows.len();
         rows.rotate_left(start);
-        rows.truncate(most);
+        rows.truncate(max_rows);
     }
     rows
 }
 
-/// What an entry knows of evacuations.
+/// The evacuations that an entry knows of.
 #[wire]
 #[derive(Default)]
 pub(super) struct EvacuationState {
-    /// Up to where it has read the operator's record.
+    /// The position up to which it has read the operator's instructions.
     pub(super) as_of: u64,
-    /// The failure domains that are evacuated as of then.
+    /// The failure domains that are evacuated as of that position.
     pub(super) domains: BTreeSet<Arc<str>>,
 }
 
-/// What an entry has admitted for a workspace.
+/// The requests that an entry has admitted for one workspace.
 #[wire]
 pub(super) struct WorkspaceUsage {
-    /// Stands for the workspace.
+    /// The hash of the workspace's name.
     pub(super) workspace: u64,
-    /// What the entry has admitted in its life.
+    /// All that the process instance has admitted since its start.
     pub(super) taken: UsageTotals,
-    /// Requests that all entries have admitted in the window, if the entry knows.
+    /// The number of requests that all entries together have admitted within the current window, if
+    /// the sender knows it. Only sent while another entry has just started.
     pub(super) in_window: Option<u64>,
 }
 
-/// Asks for a turn that the asker's own shards do not hold.
+/// Asks another entry for a turn that the sender's own shards don't hold.
 #[wire]
 pub(super) struct FindTurn {
-    /// The turn.
+    /// The turn to find.
     pub(super) turn: TurnKey,
 }
 
-/// What an entry holds of it.
+/// The answer to [`FindTurn`].
 #[wire]
 pub(super) struct FoundTurn {
-    /// The turn and all before it, oldest first.
+    /// The turn and all turns before it, oldest first; none if the turn was not found.
     pub(super) chain: Option<Vec<(TurnKey, Turn)>>,
-    /// Shards that were searched whole, by an owner that the store has just confirmed.
+    /// The shards that were searched completely and whose ownership the store has just confirmed.
     pub(super) searched: Vec<u32>,
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,9 @@
-//! The entry for endpoints that take requests themselves: it checks, admits and places each request
-//! and calls the endpoint without a process beside it.
+//! The entry for endpoints that accept requests themselves: it authenticates, admits and places
+//! each request, and calls the endpoint directly, without a sidecar process.
 //!
-//! Everything runs on one thread. What must last, and who owns which shard of the programs, is
-//! agreed in a store that the operator runs; [`Store`] and [`Protocol`] are its seams.
+//! Everything runs on one thread. Durable state, and the ownership of the programs' shards, is kept
+//! in a store that the operator runs. [`Store`] is the interface to it; [`Protocol`] is the
+//! interface to the headers and answers that callers and endpoints use.
 
 mod admit;
 mod attempt;
--- a/src/gateway/observe.rs
+++ b/src/gateway/observe.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts, for each workspace and class of requests.
+//! Log lines and metrics of a gateway, by workspace and class of request.
 
 use metrics::{counter, gauge, histogram};
 
@@ -7,10 +7,11 @@
 use crate::catalog::{RepeatPolicy, Route};
 use crate::prelude::*;
 
-/// The workspace of requests that were refused before their key was known.
+/// Metrics label of requests without a workspace: those refused before their key was known, and
+/// those that need no key.
 const NO_WORKSPACE: &str = "-";
 
-/// The class of a route's requests.
+/// The class of a route's requests, as it appears in logs and metrics.
 pub(super) fn class(route: &Route) -> &'static str {
     match route.repeat {
         RepeatPolicy::Idempotent => "idempotent",
@@ -20,29 +21,29 @@
     }
 }
 
-/// What is known of a request when it is answered.
+/// What logs and metrics say of a request, filled in while it is served.
 #[derive(Debug, Default)]
 pub(super) struct RequestSummary {
-    /// Its workspace.
+    /// Its workspace, once its key is known.
     pub(super) workspace: Option<Arc<str>>,
-    /// Its class.
+    /// Its class, once its route is known.
     pub(super) class: Option<&'static str>,
-    /// The time to its first byte that its operator aims at.
+    /// The route's target for the time to the first byte.
     pub(super) target_ms: u64,
 }
 
-/// Logs and counts an answered request, with the time to the head of its answer.
+/// Logs and counts an answered request; `took_ms` runs from its arrival to the head of its answer.
 pub(super) fn record_answered(
-    call: &RequestHead,
+    head: &RequestHead,
     summary: &RequestSummary,
     status: u16,
     took_ms: u64,
 ) {
-    let (program, workspace) = (text(&call.program), text(&summary.workspace));
+    let (program, workspace) = (or_empty(&head.program), or_empty(&summary.workspace));
     let (class, target_ms) = (summary.class.unwrap_or_default(), summary.target_ms);
-    log::info!(request:% = call.request, status, took_ms, target_ms, class, program, workspace;
+    log::info!(request:% = head.request, status, took_ms, target_ms, class, program, workspace;
         "answered");
-    count(summary, format!("{status}"));
+    count_request(summary, format!("{status}"));
     let workspace = summary.workspace.as_deref().unwrap_or(NO_WORKSPACE).to_string();
     let class = summary.class.unwrap_or("unknown");
     histogram!("trefoil_answer_ms", "workspace" => workspace, "class" => class)
@@ -52,26 +53,26 @@
 /// Logs and counts a refused request.
 pub(super) fn record_refused(
     gateway: &Gateway,
-    call: &RequestHead,
+    head: &RequestHead,
     summary: &RequestSummary,
     refusal: Refusal,
     took_ms: u64,
 ) {
     let config_age_ms = gateway.active_config.age_ms().unwrap_or(u64::MAX);
-    let (program, previous) = (text(&call.program), text(&call.previous));
-    let (workspace, class) = (text(&summary.workspace), summary.class.unwrap_or_default());
-    let (name, wait_ms) = (refusal.name(), call.wait_ms.unwrap_or(u64::MAX));
+    let (program, previous) = (or_empty(&head.program), or_empty(&head.previous));
+    let (workspace, class) = (or_empty(&summary.workspace), summary.class.unwrap_or_default());
+    let (name, wait_ms) = (refusal.name(), head.wait_ms.unwrap_or(u64::MAX));
     let domain = &gateway.settings.topology.domain;
-    log::info!(request:% = call.request, refusal = name, took_ms, wait_ms, config_age_ms, class,
+    log::info!(request:% = head.request, refusal = name, took_ms, wait_ms, config_age_ms, class,
         program, previous, workspace, domain:%; "refused");
-    count(summary, name.to_string());
+    count_request(summary, name.to_string());
 }
 
-fn text(id: &Option<Arc<str>>) -> &str {
+fn or_empty(id: &Option<Arc<str>>) -> &str {
     id.as_deref().unwrap_or_default()
 }
 
-fn count(summary: &RequestSummary, outcome: String) {
+fn count_request(summary: &RequestSummary, outcome: String) {
     let workspace = summary.workspace.as_deref().unwrap_or(NO_WORKSPACE).to_string();
     let class = summary.class.unwrap_or("unknown");
     counter!("trefoil_requests_total", "workspace" => workspace, "class" => class,
@@ -79,7 +80,7 @@
     .increment(1);
 }
 
-/// Sets the gauges that tell the state of the process.
+/// Sets the gauges of the process's state.
 pub(super) fn update_gauges(gateway: &Gateway) {
     gauge!("trefoil_requests_running").set(f64::from(gateway.running.get()));
     gauge!("trefoil_shards_owned").set(gateway.shards.all_owned().len() as f64);
--- a/src/gateway/operator_feed.rs
+++ b/src/gateway/operator_feed.rs
@@ -12,55 +12,59 @@
 use crate::prelude::*;
 use crate::replicas::ColdLimits;
 
-/// The longest that the store holds a read for something newer.
-const WAIT_MOST_MS: u64 = 1_000;
+/// Maximum time that the store holds a read (long poll) while there is nothing new.
+const MAX_LONG_POLL_MS: u64 = 1_000;
 
-/// It holds a read for one part in so many of the time within which a withdrawn key must end:
-/// what is known is up to two waits old, and a slow or lost answer must fit in as well.
-const WAIT_PART: u64 = 5;
+/// At least this many long polls fit into `revoke_ms`, the time within which a withdrawn key must
+/// stop being served. What is known is up to two long polls old, and a slow or lost answer must fit
+/// in as well.
+const MIN_LONG_POLLS_PER_REVOCATION: u64 = 5;
 
-/// The longest that a read may take beyond its wait before it is given up.
-const READ_SLACK_MS: u64 = 600;
+/// A read times out when it takes this much longer than its long poll.
+const READ_TIMEOUT_SLACK_MS: u64 = 600;
 
 /// Pause after a failed read.
 const RETRY_MS: u64 = 100;
 
-/// The configuration in force, and when it was last known to be the newest.
+/// The configuration in force, and when it was last confirmed to be the newest.
 #[derive(Default)]
 pub(super) struct ActiveConfig {
     catalog: RefCell<Option<Rc<Catalog>>>,
     confirmed_at_ms: Cell<Option<u64>>,
-    /// It was confirmed to be the newest.
+    /// Notified each time a read confirms that the configuration is the newest.
     pub(super) confirmed: Notify,
 }
 
 impl ActiveConfig {
-    /// The configuration, if one is known.
+    /// The configuration in force, if one has been read yet.
     pub(super) fn catalog(&self) -> Option<Rc<Catalog>> {
         self.catalog.borrow().clone()
     }
 
-    /// Whether the configuration was the newest `within_ms` ago, counted from the start of the read
-    /// that said so. Time while the VM was suspended counts: a key may have been withdrawn then.
+    /// Whether the configuration was confirmed to be the newest less than `within_ms` ago, counted
+    /// from the start of the read that confirmed it. Time during which the VM was suspended counts
+    /// too: a key may have been withdrawn meanwhile.
     pub(super) fn is_fresh(&self, within_ms: u64) -> bool {
         let age_ms = self.age_ms();
         self.catalog.borrow().is_some() && age_ms.is_some_and(|age_ms| age_ms < within_ms)
     }
 
-    /// Milliseconds since the configuration was known to be the newest.
+    /// Milliseconds since the start of the last read that confirmed the configuration to be the
+    /// newest; `None` before the first one.
     pub(super) fn age_ms(&self) -> Option<u64> {
-        self.confirmed_at_ms.get().map(|at| boot_ms().saturating_sub(at))
+        self.confirmed_at_ms.get().map(|at| boot_time_ms().saturating_sub(at))
     }
 }
 
-/// A clock that goes on while the VM is suspended.
-fn boot_ms() -> u64 {
+/// Time since the VM booted, including the time during which it was suspended.
+fn boot_time_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// Follows what the operator writes for as long as the process lives.
-pub(super) async fn follow_operator(gateway: Rc<Gateway>) {
+/// Follows the operator's record, which holds configurations and evacuations, until the process
+/// exits.
+pub(super) async fn follow_operator_record(gateway: Rc<Gateway>) {
     let mut from = None;
     let mut failing = false;
     loop {
@@ -68,14 +72,15 @@
             Ok(next) => {
                 gateway.reachability.record_success(gateway.now());
                 if std::mem::take(&mut failing) {
-                    log::info!("the operator's record can be read again");
+                    log::info!("operator's record readable again");
                 }
                 from = Some(next);
             }
             Err(fault) => {
                 gateway.reachability.record_failure(gateway.now(), &fault);
                 if !std::mem::replace(&mut failing, true) {
-                    log::warn!(fault:display; "the operator's record can't be read");
+                    log::warn!(fault:display;
+                        "cannot read the operator's record; keeping what is known and retrying");
                 }
                 if fault == StoreError::Expired {
                     from = None;
@@ -91,21 +96,26 @@
     from: Option<Position>,
     failing: bool,
 ) -> Result<Position, StoreError> {
-    let started_ms = boot_ms();
-    // After an outage, callers wait for the first answer: it must not wait for news.
+    let started_ms = boot_time_ms();
+    // Callers that arrived during an outage wait for the first successful read, so the store must
+    // not hold it until there is something new.
     let wait_ms = match failing {
         true => 0,
-        false => WAIT_MOST_MS.min(gateway.settings.bounds.revoke_ms / WAIT_PART),
+        false => {
+            MAX_LONG_POLL_MS.min(gateway.settings.bounds.revoke_ms / MIN_LONG_POLLS_PER_REVOCATION)
+        }
     };
     let read = gateway.store.instructions(from, wait_ms);
-    let feed = call_store(wait_ms + READ_SLACK_MS, read).await?;
+    let feed = call_store(wait_ms + READ_TIMEOUT_SLACK_MS, read).await?;
     let mut evacuated = match feed.is_snapshot {
         true => BTreeSet::new(),
         false => gateway.directory.borrow().evacuations().domains().clone(),
     };
     for instruction in feed.items {
         match instruction {
-            Instruction::Configuration(declared) => declare(gateway, declared),
+            Instruction::Configuration(configuration) => {
+                apply_configuration(gateway, configuration)
+            }
             Instruction::Evacuate(domain) => drop(evacuated.insert(domain)),
             Instruction::Restore(domain) => drop(evacuated.remove(&domain)),
         }
@@ -116,34 +126,35 @@
     Ok(feed.next)
 }
 
-fn declare(gateway: &Gateway, declared: Configuration) {
-    let version = declared.version;
-    let active_config = gateway.active_config.catalog();
-    match Catalog::build_if_newer(active_config.as_deref(), declared) {
+fn apply_configuration(gateway: &Gateway, configuration: Configuration) {
+    let version = configuration.version;
+    let current = gateway.active_config.catalog();
+    match Catalog::build_if_newer(current.as_deref(), configuration) {
         Ok(catalog) => {
-            log::info!(version; "a configuration is in force");
+            log::info!(version; "new configuration in force");
             let mut rates = gateway.rates.borrow_mut();
             catalog.workspaces().for_each(|workspace| {
-                rates.declared(gateway.now(), workspace);
+                rates.open_window(gateway.now(), workspace);
             });
             gateway.directory.borrow_mut().set_cold_limits(cold_limits(gateway, &catalog));
             *gateway.active_config.catalog.borrow_mut() = Some(Rc::new(catalog));
         }
-        Err(fault) => log::debug!(fault:display; "a configuration was passed over"),
+        Err(fault) => log::debug!(fault:display; "configuration ignored"),
     }
 }
 
+/// The limits of cold endpoints, for each service that sets a rate for them.
 fn cold_limits(gateway: &Gateway, catalog: &Catalog) -> HashMap<Arc<str>, ColdLimits> {
     let bounds = &gateway.settings.bounds;
-    let bearing = catalog.services().filter(|(_, service)| service.cold_per_s > 0.0);
-    let rules = bearing.map(|(name, service)| {
-        let rule = ColdLimits {
+    let with_cold_rate = catalog.services().filter(|(_, service)| service.cold_per_s > 0.0);
+    let limits = with_cold_rate.map(|(name, service)| {
+        let service_limits = ColdLimits {
             duration_ms: service.cold_start_ms,
             requests_per_s: service.cold_per_s,
             max_requests_per_s: service.cold_per_s * bounds.cold_rate_factor
                 + bounds.cold_rate_slack,
         };
-        (name.clone(), rule)
+        (name.clone(), service_limits)
     });
-    rules.collect()
+    limits.collect()
 }
--- a/src/gateway/owned_shard.rs
+++ b/src/gateway/owned_shard.rs
@@ -4,27 +4,27 @@
 use super::writer::Writer;
 use crate::turns::Ledger;
 
-/// Where a shard stands in this process.
+/// The stages of owning a shard, from taking it over to losing it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Its records are being read.
+    /// Its records are being read from the store.
     Loading,
-    /// Its turns are served.
+    /// Its turns are served here.
     Serving,
-    /// Its turns under way end here, new ones go to the next owner.
-    Leaving,
-    /// Another process owns it: nothing can be recorded any more.
+    /// Turns in flight finish here; new ones go to the next owner.
+    Draining,
+    /// This process no longer owns it and can record nothing more. Final.
     Lost,
 }
 
-/// A shard that was dealt to this process, under one epoch.
+/// A shard that this process owns, or has owned, under one epoch.
 pub(super) struct OwnedShard {
     pub(super) number: u32,
     pub(super) epoch: u64,
     pub(super) ledger: RefCell<Ledger>,
     pub(super) writer: Writer,
     stage: Cell<Stage>,
-    turns: Cell<u32>,
+    turns_in_flight: Cell<u32>,
 }
 
 impl OwnedShard {
@@ -35,39 +35,39 @@
             ledger: RefCell::default(),
             writer: Writer::default(),
             stage: Cell::new(Stage::Loading),
-            turns: Cell::new(0),
+            turns_in_flight: Cell::new(0),
         })
     }
 
-    /// Where it stands.
+    /// The current stage.
     pub(super) fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// Moves on. A lost shard stays lost.
-    pub(super) fn enter(&self, stage: Stage) {
+    /// Moves to another stage, unless the shard is lost already.
+    pub(super) fn set_stage(&self, stage: Stage) {
         if self.stage.get() != Stage::Lost {
             self.stage.set(stage);
         }
     }
 
-    /// Turns under way.
-    pub(super) fn turns(&self) -> u32 {
-        self.turns.get()
+    /// The number of turns in flight.
+    pub(super) fn turns_in_flight(&self) -> u32 {
+        self.turns_in_flight.get()
     }
 
-    /// Counts a turn as under way until the guard is dropped.
-    pub(super) fn begin_turn(self: &Rc<Self>) -> UnderWay {
-        self.turns.set(self.turns.get() + 1);
-        UnderWay(self.clone())
+    /// Counts a turn as in flight until the returned guard is dropped.
+    pub(super) fn begin_turn(self: &Rc<Self>) -> TurnGuard {
+        self.turns_in_flight.set(self.turns_in_flight.get() + 1);
+        TurnGuard(self.clone())
     }
 }
 
-/// A turn under way.
-pub(super) struct UnderWay(Rc<OwnedShard>);
+/// Guard that counts a turn as in flight.
+pub(super) struct TurnGuard(Rc<OwnedShard>);
 
-impl Drop for UnderWay {
+impl Drop for TurnGuard {
     fn drop(&mut self) {
-        self.0.turns.set(self.0.turns.get() - 1);
+        self.0.turns_in_flight.set(self.0.turns_in_flight.get() - 1);
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -6,65 +6,73 @@
 use crate::prelude::*;
 use crate::quota::PeerCounts;
 
-/// An entry that was not heard from for this long has nothing running and owns nothing: six
-/// messages lost in a row.
+/// An entry from which no message came for this long counts as running nothing and owning nothing.
+/// It takes about six lost messages in a row.
 const SILENT_AFTER_MS: u64 = 1_500;
 
-/// An entry that was not heard from for this long no longer takes part in the workspaces' rates:
-/// one that is cut off for longer has no fresh configuration and admits nothing.
-const FORGOTTEN_AFTER_MS: u64 = 20_000;
+/// An entry from which no message came for this long no longer gets a share of the workspaces'
+/// rates: one that is cut off for longer has no fresh configuration and admits nothing.
+const REMOVE_AFTER_MS: u64 = 20_000;
 
-/// An entry is relieved of its shards at most once in this time: longer than new owners take
-/// to read them.
-const RELIEF_PAUSE_MS: u64 = 3_000;
+/// Shortest time between two deregistrations of the same entry by this one: longer than the new
+/// owners take to read the shards.
+const MIN_DEREGISTRATION_INTERVAL_MS: u64 = 3_000;
 
-/// So many entries relieve one that is cut off from the store: one may be cut off as well.
-const RELIEVERS: usize = 2;
+/// How many entries deregister one that is cut off from the store: more than one, since a single
+/// one may be cut off as well.
+const DEREGISTERING_ENTRIES: usize = 2;
 
-/// An entry that was heard within this time is in touch: three messages lost in a row.
-const IN_TOUCH_MS: u64 = 500;
+/// An entry whose last message is older than this counts as out of touch. It takes about three lost
+/// messages in a row.
+const HEARD_RECENTLY_MS: u64 = 500;
 
 #[derive(Debug)]
 struct Peer {
     name: Arc<str>,
-    /// Stands for the name.
+    /// The hash of the name.
     hash: u64,
-    /// None as long as it is known from its messages only.
+    /// None as long as the entry is known only from its messages.
     region: Option<Arc<str>>,
+    /// The id of its process instance; zero before the first message.
     instance: u64,
+    /// When the last message came; none before the first one, and after it fell silent.
     heard_at: Option<TimeMs>,
-    /// When it was first heard in this life.
-    met_at: TimeMs,
-    known_at: TimeMs,
+    /// When the first message of its current process instance came.
+    first_heard_at: TimeMs,
+    /// When the entry was added, or the last message came before it fell silent.
+    last_known_at: TimeMs,
     leaving: bool,
     store_unreachable: bool,
     recently_started: bool,
+    /// The number of requests that it has running, by endpoint.
     running: HashMap<u64, u32>,
-    signed_off: Option<u64>,
-    relieved_at: Option<TimeMs>,
+    /// The process instance that was deregistered because it was unreachable.
+    deregistered_instance: Option<u64>,
+    /// When this entry last deregistered it because it was cut off from the store.
+    deregistered_at: Option<TimeMs>,
 }
 
-/// What a message has changed.
+/// What a message from an entry has changed.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
-    /// The sender was not known, or is in a new life.
-    pub(super) first: bool,
-    /// When the sender was first heard in this life.
-    pub(super) since: TimeMs,
-    /// Endpoints at which it runs more or fewer requests than before.
-    pub(super) changed: Vec<u64>,
+pub(super) struct MessageOutcome {
+    /// Whether it is the first message from this process instance.
+    pub(super) first_message: bool,
+    /// When the first message from this process instance came.
+    pub(super) first_heard_at: TimeMs,
+    /// The endpoints at which the sender runs more or fewer requests than before.
+    pub(super) changed_endpoints: Vec<u64>,
 }
 
-/// The other entries.
+/// What is known of the other entries.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     peers: HashMap<SocketAddr, Peer>,
-    /// Requests that all of them have running, by endpoint.
+    /// The number of requests that all of them together have running, by endpoint.
     running: HashMap<u64, u32>,
 }
 
 impl Peers {
-    /// An entry is known to exist, alive or not.
+    /// Adds an entry, running or not, or updates its region.
     pub(super) fn upsert(&mut self, now: TimeMs, record: PeerRecord) {
         let PeerRecord { name, address, region } = record;
         let peer = self.peers.entry(address).or_insert_with(|| Peer {
@@ -73,199 +81,207 @@
             region: None,
             instance: 0,
             heard_at: None,
-            met_at: now,
-            known_at: now,
+            first_heard_at: now,
+            last_known_at: now,
             leaving: false,
             store_unreachable: false,
             recently_started: false,
             running: HashMap::new(),
-            signed_off: None,
-            relieved_at: None,
+            deregistered_instance: None,
+            deregistered_at: None,
         });
         peer.region = region.or(peer.region.take());
     }
 
-    /// An entry was heard.
+    /// Records a message from the entry at `address`.
     pub(super) fn record_message(
         &mut self,
         now: TimeMs,
         address: SocketAddr,
         gossip: &GossipMessage,
-    ) -> Heard {
+    ) -> MessageOutcome {
         self.upsert(now, PeerRecord { name: gossip.name.clone(), address, region: None });
         let Some(peer) = self.peers.get_mut(&address) else {
-            return Heard::default();
+            return MessageOutcome::default();
         };
-        let first = peer.instance != gossip.instance;
-        if first {
-            peer.met_at = now;
+        let first_message = peer.instance != gossip.instance;
+        if first_message {
+            peer.first_heard_at = now;
         }
         peer.instance = gossip.instance;
         peer.heard_at = Some(now);
         peer.leaving = gossip.leaving;
         peer.store_unreachable = gossip.store_unreachable;
         peer.recently_started = gossip.recently_started;
-        let since = peer.met_at;
+        let first_heard_at = peer.first_heard_at;
         let now_running = gossip.running.iter().copied().collect();
         let before = std::mem::replace(&mut peer.running, now_running);
-        let changed = count_running(&mut self.running, &before, &peer.running);
-        Heard { first, since, changed }
+        let changed_endpoints = update_running_sum(&mut self.running, &before, &peer.running);
+        MessageOutcome { first_message, first_heard_at, changed_endpoints }
     }
 
-    /// Stand for the entries that have been heard, also those silent by now.
-    pub(super) fn senders(&self) -> Vec<u64> {
+    /// The hashes of the entries from which a message ever came, also of those out of touch by now.
+    pub(super) fn heard_entry_hashes(&self) -> Vec<u64> {
         let heard = self.peers.values().filter(|peer| peer.instance != 0);
         heard.map(|peer| peer.hash).collect()
     }
 
-    /// Where to send messages.
+    /// The addresses to which messages are sent.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         self.peers.keys().copied().collect()
     }
 
-    /// Entries that have fallen silent since they were heard last; each is told of once.
-    pub(super) fn fallen_silent(&mut self, now: TimeMs) -> Vec<SocketAddr> {
+    /// Clears the state of the entries from which no message came for too long, and returns each of
+    /// them once. Removes entries that have been silent for much longer.
+    pub(super) fn take_silent(&mut self, now: TimeMs) -> Vec<SocketAddr> {
         let silent = |peer: &Peer| peer.heard_at.is_some_and(|at| now.since(at) > SILENT_AFTER_MS);
         let silent: Vec<_> =
             self.peers.iter().filter(|(_, p)| silent(p)).map(|(address, _)| *address).collect();
         for address in &silent {
             if let Some(peer) = self.peers.get_mut(address) {
                 let before = std::mem::take(&mut peer.running);
-                count_running(&mut self.running, &before, &peer.running);
-                peer.known_at = peer.heard_at.take().unwrap_or(now);
+                update_running_sum(&mut self.running, &before, &peer.running);
+                peer.last_known_at = peer.heard_at.take().unwrap_or(now);
             }
         }
         self.peers
-            .retain(|_, p| p.heard_at.is_some() || now.since(p.known_at) < FORGOTTEN_AFTER_MS);
+            .retain(|_, p| p.heard_at.is_some() || now.since(p.last_known_at) < REMOVE_AFTER_MS);
         silent
     }
 
-    /// Whether the entry was heard of late.
+    /// Whether a message came from the entry recently.
     pub(super) fn heard_recently(&self, now: TimeMs, address: SocketAddr) -> bool {
         let heard_at = self.peers.get(&address).and_then(|peer| peer.heard_at);
-        heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS)
+        heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS)
     }
 
-    /// Whether the store is away for most entries, as far as this one hears them. It is not if this one
-    /// hears few of the others: then it is itself that is cut off.
+    /// Whether the store is unreachable for at least half of the entries heard recently. If these
+    /// are fewer than half of those known, the answer is `false`: then this entry itself is cut
+    /// off.
     pub(super) fn store_unreachable_for_most(&self, now: TimeMs) -> bool {
         let alive = self.peers.values().filter(|peer| peer.heard_at.is_some() && !peer.leaving);
-        let (mut known, mut heard, mut away) = (0, 0, 0);
+        let (mut known, mut heard, mut unreachable) = (0, 0, 0);
         for peer in alive {
-            let recent = peer.heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS);
+            let recent = peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
             known += 1;
             heard += usize::from(recent);
-            away += usize::from(recent && peer.store_unreachable);
+            unreachable += usize::from(recent && peer.store_unreachable);
         }
-        heard * 2 >= known && away * 2 >= heard
+        heard * 2 >= known && unreachable * 2 >= heard
     }
 
-    /// The region that an entry is in, if it is known.
+    /// The region of an entry, if known.
     pub(super) fn region(&self, address: SocketAddr) -> Option<&str> {
         self.peers.get(&address)?.region.as_deref()
     }
 
-    /// Entries in touch that reach the store and take requests, in regions that `is_near` allows; in the same
-    /// order each time.
+    /// The entries heard recently that can reach the store, take requests, and are in a region that
+    /// `is_local_region` accepts; sorted by address.
     pub(super) fn entries_reaching_store(
         &self,
         now: TimeMs,
         is_local_region: impl Fn(Option<&str>) -> bool,
     ) -> Vec<SocketAddr> {
-        let sound = |peer: &Peer| {
-            let recent = peer.heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS);
+        let reachable = |peer: &Peer| {
+            let recent = peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
             recent
                 && !peer.store_unreachable
                 && !peer.leaving
                 && is_local_region(peer.region.as_deref())
         };
-        let sound = self.peers.iter().filter(|(_, peer)| sound(peer));
-        let mut addresses: Vec<_> = sound.map(|(address, _)| *address).collect();
+        let reachable = self.peers.iter().filter(|(_, peer)| reachable(peer));
+        let mut addresses: Vec<_> = reachable.map(|(address, _)| *address).collect();
         addresses.sort_unstable();
         addresses
     }
 
-    /// Whether an entry has started of late and needs to hear what the others know.
+    /// Whether an entry has started recently and still needs the full state of the others.
     pub(super) fn has_newcomer(&self, now: TimeMs) -> bool {
-        let heard = |peer: &Peer| peer.heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS);
+        let heard = |peer: &Peer| peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
         self.peers.values().any(|peer| peer.recently_started && heard(peer))
     }
 
-    /// Requests that the others have running at an endpoint.
+    /// The number of requests that the other entries have running at an endpoint.
     pub(super) fn running(&self, endpoint: u64) -> u32 {
         self.running.get(&endpoint).copied().unwrap_or(0)
     }
 
-    /// The entry's name, if it is not signed off yet in its present life.
+    /// Marks the entry's current process instance as deregistered. Returns its name, or `None` if
+    /// it was so marked before.
     pub(super) fn deregister(&mut self, address: SocketAddr) -> Option<Arc<str>> {
         let peer = self.peers.get_mut(&address)?;
-        let first = peer.signed_off.replace(peer.instance) != Some(peer.instance);
+        let first = peer.deregistered_instance.replace(peer.instance) != Some(peer.instance);
         first.then(|| peer.name.clone())
     }
 
-    /// The entry's name.
+    /// The name of an entry.
     pub(super) fn name(&self, address: SocketAddr) -> Option<Arc<str>> {
         self.peers.get(&address).map(|peer| peer.name.clone())
     }
 
-    /// Whether the entry at `own` is to relieve the one at `address` of its shards now. Only a few do,
-    /// others for each: all at once would be a burst of calls for nothing.
-    pub(super) fn takes_relief(
+    /// Whether the entry at `own_address` should deregister the one at `address` now. Only a few
+    /// entries do so, different ones for each address: calls from all of them would be a useless
+    /// burst.
+    pub(super) fn should_deregister(
         &mut self,
         now: TimeMs,
         address: SocketAddr,
-        own: SocketAddr,
+        own_address: SocketAddr,
     ) -> bool {
-        let rank = |reliever: &SocketAddr| {
-            Digest::of(&[reliever.to_string().as_bytes(), address.to_string().as_bytes()]).prefix()
+        let rank = |candidate: &SocketAddr| {
+            Digest::of(&[candidate.to_string().as_bytes(), address.to_string().as_bytes()]).prefix()
         };
-        let heard = |peer: &Peer| peer.heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS);
+        let heard = |peer: &Peer| peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
         let others = self.peers.iter().filter(|(at, peer)| **at != address && heard(peer));
-        let before = others.filter(|(at, _)| rank(at) < rank(&own)).count();
-        let Some(peer) = self.peers.get_mut(&address).filter(|_| before < RELIEVERS) else {
+        let before = others.filter(|(at, _)| rank(at) < rank(&own_address)).count();
+        let Some(peer) = self.peers.get_mut(&address).filter(|_| before < DEREGISTERING_ENTRIES)
+        else {
             return false;
         };
-        let due = peer.relieved_at.is_none_or(|at| now.since(at) >= RELIEF_PAUSE_MS);
+        let due =
+            peer.deregistered_at.is_none_or(|at| now.since(at) >= MIN_DEREGISTRATION_INTERVAL_MS);
         if due {
-            peer.relieved_at = Some(now);
+            peer.deregistered_at = Some(now);
         }
         due
     }
 
-    /// How the workspaces' rates are shared now. An entry that was signed off takes no part.
+    /// Among how many entries the workspaces' rates are shared now. A deregistered entry gets no
+    /// share.
     pub(super) fn peer_counts(&self, now: TimeMs) -> PeerCounts {
-        let shares = |peer: &&Peer| {
-            peer.instance != 0 && !peer.leaving && peer.signed_off != Some(peer.instance)
+        let counts = |peer: &&Peer| {
+            peer.instance != 0 && !peer.leaving && peer.deregistered_instance != Some(peer.instance)
         };
         let (mut others, mut heard) = (0, 0);
-        for peer in self.peers.values().filter(shares) {
+        for peer in self.peers.values().filter(counts) {
             others += 1;
-            let recent = peer.heard_at.is_some_and(|at| now.since(at) < IN_TOUCH_MS);
+            let recent = peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
             heard += u32::from(recent);
         }
         PeerCounts { entries: others + 1, heard: heard + 1 }
     }
 }
 
-/// Takes what one entry has running into the sum of all; yields the endpoints where that changed.
-fn count_running(
-    all: &mut HashMap<u64, u32>,
+/// Updates the sum over all entries from the requests that one entry runs. Returns the endpoints
+/// whose count changed.
+fn update_running_sum(
+    totals: &mut HashMap<u64, u32>,
     before: &HashMap<u64, u32>,
     after: &HashMap<u64, u32>,
 ) -> Vec<u64> {
     let endpoints = before.keys().chain(after.keys().filter(|key| !before.contains_key(*key)));
     let mut changed = Vec::new();
     for endpoint in endpoints {
-        let was = before.get(endpoint).copied().unwrap_or(0);
-        let is = after.get(endpoint).copied().unwrap_or(0);
-        if was == is {
+        let previous = before.get(endpoint).copied().unwrap_or(0);
+        let current = after.get(endpoint).copied().unwrap_or(0);
+        if previous == current {
             continue;
         }
         changed.push(*endpoint);
-        let sum = all.entry(*endpoint).or_default();
-        *sum = (*sum + is).saturating_sub(was);
+        let sum = totals.entry(*endpoint).or_default();
+        *sum = (*sum + current).saturating_sub(previous);
         if *sum == 0 {
-            all.remove(endpoint);
+            totals.remove(endpoint);
         }
     }
     changed
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -1,4 +1,5 @@
-//! The seams: the store that arbitrates, and the words that callers and endpoints use.
+//! The interfaces that a deployment implements: the store that the entries share, and the protocol
+//! that callers and endpoints speak.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,155 +14,166 @@
 use crate::replicas::EndpointChange;
 use crate::turns::Record;
 
-/// Why a call to the store has failed.
+/// Why a call to the store failed.
 #[value]
 pub enum StoreError {
-    /// No answer: it may have been done, or may be done later.
+    /// No answer: the call may have taken effect, or may take effect later.
     NoAnswer(String),
-    /// Nothing was done.
+    /// Rejected with this HTTP status; the call had no effect.
     Refused(u16),
-    /// A later epoch has been seen: this process owns the shard no longer.
+    /// The store has seen a later epoch: this process no longer owns the shard.
     Fenced,
-    /// Another call was expected next.
+    /// The batch does not carry the next sequence number of its epoch.
     OutOfSequence {
-        /// The sequence number expected.
+        /// The sequence number that the store accepts next.
         expected: u64,
     },
-    /// The records asked for are deleted.
+    /// The requested records have been deleted.
     Expired,
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     Unreadable(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::NoAnswer(fault) => write!(f, "no answer: {fault}"),
-            StoreError::Refused(status) => write!(f, "refused with status {status}"),
-            StoreError::Fenced => f.write_str("a later epoch has been seen"),
-            StoreError::OutOfSequence { expected } => write!(f, "sequence {expected} is due"),
-            StoreError::Expired => f.write_str("the records are deleted"),
-            StoreError::Unreadable(fault) => write!(f, "unreadable answer: {fault}"),
+            StoreError::NoAnswer(fault) => write!(f, "no answer from the store: {fault}"),
+            StoreError::Refused(status) => write!(f, "store refused the call with status {status}"),
+            StoreError::Fenced => {
+                f.write_str("fenced: the store has seen a later epoch of the shard")
+            }
+            StoreError::OutOfSequence { expected } => {
+                write!(f, "batch out of sequence: the store expects number {expected}")
+            }
+            StoreError::Expired => f.write_str("the requested records have been deleted"),
+            StoreError::Unreadable(fault) => {
+                write!(f, "undecodable answer from the store: {fault}")
+            }
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// A batch for one shard, appended whole or not at all.
+/// A batch of records for one shard, appended atomically.
 #[value]
 pub struct Append {
-    /// The shard.
+    /// The shard that the records belong to.
     pub shard: u32,
-    /// The epoch of its owner.
+    /// The epoch under which its owner writes.
     pub epoch: u64,
-    /// Numbers the batches of an epoch. The same number again is the same batch.
+    /// Numbers the batches of an epoch. A batch with a number already seen is taken for a repeat.
     pub sequence: u64,
-    /// The records; none only sets or confirms the epoch, and is not numbered.
+    /// The records. An empty batch only sets or confirms the epoch, and does not consume a number.
     pub records: Vec<Record>,
 }
 
-/// A page of the newest record of each key of a shard.
+/// One page of the newest records of a shard, one per key.
 #[value]
 pub struct Page {
-    /// Keys and values.
+    /// Keys and their values.
     pub items: Vec<(String, Vec<u8>)>,
-    /// Where the next page starts, if there is one.
+    /// The key after which the next page starts; none on the last page.
     pub next: Option<String>,
 }
 
-/// The shards dealt to a member.
+/// The shards assigned to a member of the group of owners.
 #[value]
 pub struct Assignment {
-    /// Grows with each change of the deal.
+    /// Counts the changes of the group; grows with each new assignment.
     pub generation: u64,
-    /// The member's shards.
+    /// The shards that the member owns.
     pub shards: Vec<u32>,
 }
 
-/// Where a feed is to be read on.
+/// The position in a feed from which to read on.
 #[key]
 pub struct Position(pub u64);
 
-/// What is new in a feed.
+/// The changes read from a feed.
 #[value]
 pub struct Feed<T> {
-    /// The news, oldest first.
+    /// The changes, oldest first.
     pub items: Vec<T>,
-    /// Whether the items are all there is, and not only what is new.
+    /// Whether the items are a full snapshot rather than only the changes since the last read.
     pub is_snapshot: bool,
-    /// Where to read on.
+    /// Where the next read starts.
     pub next: Position,
 }
 
-/// How another entry is reached.
+/// How to reach another entry.
 #[value]
 pub struct PeerRecord {
     /// The name of its VM.
     pub name: Arc<str>,
-    /// Where it takes messages and forwarded calls.
+    /// The address on which it receives gossip (UDP) and forwarded requests (TCP).
     pub address: SocketAddr,
-    /// The region it is in, if it has said so.
+    /// Its region, if it has announced one.
     pub region: Option<Arc<str>>,
 }
 
-/// An answer of the store, some time later.
+/// The pending result of a call to the store.
 pub type StoreFuture<'a, T> = LocalBoxFuture<'a, Result<T, StoreError>>;
 
-/// The operator's store: a log, groups that deal shards, the configuration, the endpoints' list.
+/// The operator's store: an append-only log, the group that assigns shards to entries, the
+/// configuration, and the list of endpoints.
 pub trait Store {
-    /// How many shards there are.
+    /// The number of shards.
     fn shards(&self) -> u32;
-    /// Appends a batch.
+    /// Appends a batch to its shard.
     fn append<'a>(&'a self, append: &'a Append) -> StoreFuture<'a, ()>;
-    /// Reads the newest record of each key of a shard.
+    /// Reads a page of the newest records of a shard, one per key, starting behind the key `after`.
     fn newest_records(&self, shard: u32, after: Option<String>) -> StoreFuture<'_, Page>;
-    /// Joins the group of owners or stays in it.
+    /// Joins the group of owners, or renews the membership. `generation` is the latest one that the
+    /// member has applied.
     fn join<'a>(&'a self, member: &'a str, generation: u64) -> StoreFuture<'a, Assignment>;
-    /// Leaves the group, so that the member's shards are dealt anew at once.
+    /// Leaves the group, so that the member's shards are reassigned at once.
     fn leave<'a>(&'a self, member: &'a str) -> StoreFuture<'a, ()>;
-    /// Reads what the operator has written since `from`, waiting for something if there is nothing.
+    /// Reads the operator's instructions since `from`. If there are none, waits up to `wait_ms` for
+    /// one.
     fn instructions(
         &self,
         from: Option<Position>,
         wait_ms: u64,
     ) -> StoreFuture<'_, Feed<Instruction>>;
-    /// Reads the changes of the endpoints' list since `from`.
+    /// Reads the changes of the list of endpoints since `from`.
     fn endpoints(&self, from: Option<Position>) -> StoreFuture<'_, Feed<EndpointChange>>;
-    /// Tells the other entries how this one is reached.
+    /// Publishes how the other entries can reach this one.
     fn announce<'a>(&'a self, peer: &'a PeerRecord) -> StoreFuture<'a, ()>;
-    /// All entries that have announced themselves, also those gone since.
+    /// Lists all entries that were ever announced, including those that no longer run.
     fn peers(&self) -> StoreFuture<'_, Vec<PeerRecord>>;
 }
 
-/// The words that callers and endpoints use. It decides nothing.
+/// Translates between the gateway and the HTTP dialect of callers and endpoints. It makes no
+/// decisions.
 pub trait Protocol {
-    /// Decodes a request's head; nothing if it can't be understood.
+    /// Decodes the head of a request; `None` if it is not valid.
     fn parse_request(&self, head: &request::Parts) -> Option<RequestHead>;
-    /// Takes out of a caller's headers what must not reach an endpoint.
+    /// Removes the caller's headers that must not reach an endpoint.
     fn strip_caller_headers(&self, headers: &mut HeaderMap);
-    /// Adds what tells an endpoint whom the request is meant for.
+    /// Adds the headers that an endpoint needs to check and run a request.
     fn set_endpoint_headers(&self, headers: &mut HeaderMap, to: &RequestContext<'_>);
-    /// Judges an endpoint's answer to `request`.
+    /// Classifies an endpoint's answer to `request`.
     fn classify_reply(&self, head: &response::Parts, request: &str) -> ResponseKind;
-    /// Words a refusal.
+    /// Builds the response for a refusal.
     fn refuse(&self, request: Option<&str>, refusal: Refusal) -> Response<Bytes>;
 }
 
-/// What an endpoint is told with a request.
+/// What the headers of a request tell the endpoint.
 #[value]
 #[derive(Copy)]
 pub struct RequestContext<'a> {
-    /// The endpoint it is meant for; no other may run it.
+    /// The id of the endpoint that the request is meant for; no other may run it.
     pub endpoint: &'a str,
-    /// The workspace it belongs to.
+    /// The workspace that the request belongs to.
     pub workspace: &'a str,
-    /// What is left of its time.
+    /// Milliseconds until the request's deadline.
     pub left_ms: u64,
-    /// Its rank, if endpoints are told: zero is first.
+    /// The priority, if the endpoint is told one; zero is the highest.
     pub priority: Option<u8>,
-    /// How long its memory should stay after its end.
+    /// How long the endpoint should keep the request's KV cache after its end, if at all.
     pub pin_ms: Option<u64>,
-    /// The last event that the caller has of the answer; none: the answer begins.
+    /// The id of the last event of the answer that the caller has; `None` at the start of an
+    /// answer.
     pub last_event: Option<&'a str>,
 }
