--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -3,67 +3,67 @@
 use super::*;
 use crate::prelude::*;
 
-fn requests(requests: u64) -> UsageTotals {
+fn totals(requests: u64) -> UsageTotals {
     UsageTotals { requests, ..UsageTotals::default() }
 }
 
-const TOGETHER: PeerCounts = PeerCounts { entries: 4, heard: 4 };
+const ALL_HEARD: PeerCounts = PeerCounts { entries: 4, heard: 4 };
 
 fn window(rate_per_s: f64, burst: f64) -> SharedWindow {
     SharedWindow::open(TimeMs(0), RateLimit { rate_per_s, burst, window_ms: 5_000 })
 }
 
-/// Plays entries that are offered `offered_per_s` calls each and tell each other every 100 ms, for
-/// ten seconds; the most admitted in any five.
-fn most_in_window(rate: f64, burst: f64, offered_per_s: &[u64], in_touch: bool) -> u64 {
+/// Simulates entries that are offered `offered_per_s` calls each and report to each other ten times
+/// a second. Returns the most calls admitted in any five seconds, the length of the window.
+fn max_admitted_in_window(rate: f64, burst: f64, offered_per_s: &[u64], connected: bool) -> u64 {
     let mut entries: Vec<_> = offered_per_s.iter().map(|_| window(rate, burst)).collect();
     let count = entries.len() as u32;
-    let peer_counts = PeerCounts { entries: count, heard: if in_touch { count } else { 1 } };
+    let peer_counts = PeerCounts { entries: count, heard: if connected { count } else { 1 } };
     let mut admitted = vec![0_u64; 20_000];
     for now in 0..20_000_u64 {
-        // Each entry tells at a moment of its own.
-        let telling = (0..entries.len()).filter(|at| in_touch && now % 100 == *at as u64 * 12);
-        for teller in telling.collect::<Vec<_>>() {
-            let taken = entries[teller].taken();
-            let others = entries.iter_mut().enumerate().filter(|(at, _)| *at != teller);
-            others.for_each(|(_, entry)| entry.apply_usage(TimeMs(now), teller as u64, taken));
+        // The entries send their messages at different times.
+        let senders = (0..entries.len()).filter(|at| connected && now % 100 == *at as u64 * 12);
+        for sender in senders.collect::<Vec<_>>() {
+            let totals = entries[sender].taken();
+            let others = entries.iter_mut().enumerate().filter(|(at, _)| *at != sender);
+            others.for_each(|(_, entry)| entry.apply_usage(TimeMs(now), sender as u64, totals));
         }
-        // Nothing is offered at first, so that the bucket is full when the load comes.
+        // No calls for the first window, so that the whole limit is available when the load starts.
         let offered = offered_per_s.iter().map(|per_s| match now >= 5_000 {
             true => now * per_s / 1_000 - (now - 1) * per_s / 1_000,
             false => 0,
         });
         for (entry, calls) in entries.iter_mut().zip(offered) {
-            let taken = (0..calls).filter(|_| {
+            let accepted = (0..calls).filter(|_| {
                 entry
                     .try_admit(TimeMs(now), peer_counts, Claim::Continues, &ProgramStats::default())
                     .is_ok()
             });
-            admitted[now as usize] += taken.count() as u64;
+            admitted[now as usize] += accepted.count() as u64;
         }
     }
     admitted.windows(5_000).map(|window| window.iter().sum()).max().unwrap_or(0)
 }
 
-// One workspace sends many times its rate to all entries at once. The caller within its limit is
-// served, and in no five seconds do all entries together admit much more than rate and burst.
+// One workspace sends many times its rate to all entries at once. In no window may all entries
+// together admit much more than rate and burst, nor much less.
 #[test]
-fn a_flood_over_all_entries_stays_within_a_tenth_of_the_limit() {
-    let most = most_in_window(100.0, 100.0, &[250, 250, 250, 250], true);
-    assert!((560..=680).contains(&most), "{most}");
+fn flood_at_all_entries_stays_close_to_the_limit() {
+    let max_admitted = max_admitted_in_window(100.0, 100.0, &[250, 250, 250, 250], true);
+    assert!((560..=680).contains(&max_admitted), "{max_admitted}");
 }
 
-// A workspace below its rate sends a clump of calls to a single entry: what its other entries could
-// take must not be kept from it.
+// A workspace below its rate sends a burst of calls to a single entry. The entry must admit them
+// from the whole limit, without holding back a share for the other entries.
 #[test]
-fn a_clump_at_one_entry_is_admitted_from_the_whole_window() {
-    let mut bucket = window(34.0, 34.0);
+fn burst_at_one_entry_may_use_the_whole_limit() {
+    let mut shared = window(34.0, 34.0);
     let peer_counts = PeerCounts { entries: 8, heard: 8 };
     let now = TimeMs(10_000);
-    bucket.apply_usage(now, 7, requests(0));
+    shared.apply_usage(now, 7, totals(0));
     assert_eq!(
         (0..300)
-            .filter(|_| bucket
+            .filter(|_| shared
                 .try_admit(now, peer_counts, Claim::Continues, &ProgramStats::default())
                 .is_ok())
             .count(),
@@ -71,201 +71,205 @@
     );
 }
 
-// A small workspace's flood over eight entries: each sees the same token in its copy of the bucket,
-// and between two messages all of them may take it.
+// A small workspace floods eight entries. Each entry sees the same free place in its own copy of
+// the window, and between two messages all of them may fill it.
 #[test]
-fn a_flood_of_a_small_workspace_stays_within_its_limit() {
-    let most = most_in_window(30.0, 30.0, &[40; 8], true);
-    assert!((165..=200).contains(&most), "{most}");
+fn flood_of_a_small_workspace_stays_close_to_its_limit() {
+    let max_admitted = max_admitted_in_window(30.0, 30.0, &[40; 8], true);
+    assert!((165..=200).contains(&max_admitted), "{max_admitted}");
 }
 
 #[test]
-fn a_flood_at_one_entry_gets_the_whole_limit() {
-    let most = most_in_window(100.0, 100.0, &[800, 0, 0, 0], true);
-    assert!((560..=680).contains(&most), "{most}");
+fn flood_at_one_entry_may_use_the_whole_limit() {
+    let max_admitted = max_admitted_in_window(100.0, 100.0, &[800, 0, 0, 0], true);
+    assert!((560..=680).contains(&max_admitted), "{max_admitted}");
 }
 
 #[test]
-fn calls_below_the_rate_are_never_refused_after_the_start() {
-    let mut bucket = window(100.0, 50.0);
+fn calls_below_the_rate_are_admitted_after_startup() {
+    let mut shared = window(100.0, 50.0);
     for now in (1_000..5_000).step_by(20) {
         assert!(
-            bucket
-                .try_admit(TimeMs(now), TOGETHER, Claim::Continues, &ProgramStats::default())
+            shared
+                .try_admit(TimeMs(now), ALL_HEARD, Claim::Continues, &ProgramStats::default())
                 .is_ok()
         );
     }
 }
 
-// An entry that hears from nobody can't know what the others admit: were it to go by its own copy
-// alone, each side of a cut would admit the whole rate.
+// An entry that receives no messages can't know what the others admit. If it applied the whole
+// limit to its own count, each side of a network partition would admit the whole rate.
 #[test]
-fn entries_that_are_cut_off_keep_to_their_parts() {
-    let most = most_in_window(100.0, 100.0, &[400, 400, 400, 400], false);
-    assert!(most <= 660, "{most}");
+fn isolated_entries_stay_within_their_shares() {
+    let max_admitted = max_admitted_in_window(100.0, 100.0, &[400, 400, 400, 400], false);
+    assert!(max_admitted <= 660, "{max_admitted}");
 }
 
-// One of eight entries is cut off from the others but not from its callers, in the middle of a flood.
-// The others went on with the whole rate and it with its part, so that more was admitted than the
-// contract allows; neither side can know what the other admits.
+// During a flood, one of eight entries is cut off from the others but not from its callers. The
+// other seven kept using the whole rate while the one used its share, so that together they
+// exceeded the limit. Neither side can know what the other admits.
 #[test]
-fn both_sides_of_a_cut_admit_no_more_than_the_rate_together() {
-    let (side, alone) = (PeerCounts { entries: 8, heard: 7 }, PeerCounts { entries: 8, heard: 1 });
+fn both_sides_of_a_partition_together_stay_within_the_limit() {
+    let (connected, alone) =
+        (PeerCounts { entries: 8, heard: 7 }, PeerCounts { entries: 8, heard: 1 });
     let mut seven = window(80.0, 80.0);
     let mut one = window(80.0, 80.0);
-    let flood = |bucket: &mut SharedWindow, now, peer_counts| {
+    let flood = |shared: &mut SharedWindow, now, peer_counts| {
         (0..50)
             .filter(|_| {
-                bucket
+                shared
                     .try_admit(TimeMs(now), peer_counts, Claim::Continues, &ProgramStats::default())
                     .is_ok()
             })
             .count()
     };
     (0..100).for_each(|now| {
-        flood(&mut seven, now * 10, side);
+        flood(&mut seven, now * 10, connected);
         flood(&mut one, now * 10, alone);
     });
     let admitted: usize = (100..600)
-        .map(|now| flood(&mut seven, now * 10, side) + flood(&mut one, now * 10, alone))
+        .map(|now| flood(&mut seven, now * 10, connected) + flood(&mut one, now * 10, alone))
         .sum();
     assert!((440..=480).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn a_refusal_says_when_to_return() {
-    let mut bucket = window(10.0, 10.0);
+fn refusal_returns_the_retry_delay() {
+    let mut shared = window(10.0, 10.0);
     let alone = PeerCounts { entries: 1, heard: 1 };
     assert_eq!(
-        bucket.try_admit(TimeMs(0), alone, Claim::Continues, &ProgramStats::default()),
+        shared.try_admit(TimeMs(0), alone, Claim::Continues, &ProgramStats::default()),
         Err(100)
     );
 }
 
 #[test]
-fn no_rate_means_no_limit() {
-    let mut bucket = window(0.0, 0.0);
+fn zero_rate_means_no_limit() {
+    let mut shared = window(0.0, 0.0);
     assert!((0..1_000).all(|_| {
-        bucket.try_admit(TimeMs(0), TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+        shared.try_admit(TimeMs(0), ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
     }));
 }
 
-// A program without budget goes on sending turns, each of which is refused without a run. Were they
-// counted, the workspace's other programs would be refused for them.
+// A program whose budget is exhausted keeps sending turns, which are refused without running. If
+// they stayed counted, the workspace's other programs would be refused because of them.
 #[test]
-fn what_has_not_run_is_given_back_everywhere() {
-    let (mut here, mut there) = (window(10.0, 10.0), window(10.0, 10.0));
+fn requests_that_did_not_run_are_refunded_at_all_entries() {
+    let (mut local, mut remote) = (window(10.0, 10.0), window(10.0, 10.0));
     let now = TimeMs(10_000);
-    there.record_baseline(now, 1, here.taken());
-    let grant = here
-        .try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default())
-        .expect("there is room");
-    there.apply_usage(now, 1, here.taken());
-    here.refund(grant);
-    there.apply_usage(now, 1, here.taken());
-    for bucket in [&mut here, &mut there] {
-        let room = (0..100)
+    remote.record_baseline(now, 1, local.taken());
+    let grant = local
+        .try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default())
+        .expect("the window has room");
+    remote.apply_usage(now, 1, local.taken());
+    local.refund(grant);
+    remote.apply_usage(now, 1, local.taken());
+    for shared in [&mut local, &mut remote] {
+        let admitted = (0..100)
             .filter(|_| {
-                bucket.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+                shared.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
             })
             .count();
-        assert_eq!(room, 60);
+        assert_eq!(admitted, 60);
     }
 }
 
-// A workspace without a limit has requests that do not run, and then gets a limit. What was never counted
-// was taken off its window, and as much more was admitted as had not run before.
+// A workspace without a limit has requests that do not run, and then gets a limit. Refunds of these
+// requests, which were never counted, reduced the count, and as many requests too many were
+// admitted.
 #[test]
-fn what_was_not_counted_is_not_given_back() {
-    let mut bucket = window(0.0, 0.0);
+fn refund_of_an_uncounted_request_changes_no_count() {
+    let mut shared = window(0.0, 0.0);
     let now = TimeMs(10_000);
-    assert_eq!(bucket.in_window(now), Some(0.0));
+    assert_eq!(shared.in_window(now), Some(0.0));
     for _ in 0..50 {
-        let grant = bucket.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default());
-        bucket.refund(grant.expect("there is no limit"));
+        let grant = shared.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default());
+        shared.refund(grant.expect("a workspace without a limit is always admitted"));
     }
-    bucket.set_rate_limit(RateLimit { rate_per_s: 10.0, burst: 10.0, window_ms: 5_000 });
-    let takes = |_: &u32| {
-        bucket.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+    shared.set_rate_limit(RateLimit { rate_per_s: 10.0, burst: 10.0, window_ms: 5_000 });
+    let is_admitted = |_: &u32| {
+        shared.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
     };
-    assert_eq!((0..300).filter(takes).count(), 60);
+    assert_eq!((0..300).filter(is_admitted).count(), 60);
 }
 
-// Thirty entries each admit a workspace's first request within one message's time. None of those
-// first requests was counted by the others, as each stood for all that was taken before.
+// Thirty entries each admit a workspace's first request between two messages. The others counted
+// none of them, because the first totals of each entry were taken as its baseline.
 #[test]
-fn the_first_request_at_an_entry_counts_at_the_others() {
+fn first_request_at_an_entry_is_counted_by_the_others() {
     let mut window = window(10.0, 10.0);
     let now = TimeMs(10_000);
-    (0..30).for_each(|life| window.apply_usage(now, life, requests(1)));
-    let room = (0..100)
+    (0..30).for_each(|instance| window.apply_usage(now, instance, totals(1)));
+    let admitted = (0..100)
         .filter(|_| {
-            window.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+            window.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
         })
         .count();
-    assert!(room <= 30, "{room}");
+    assert!(admitted <= 30, "{admitted}");
 }
 
-// A workspace begins more programs than its rate can carry to their ends. Admitted alike, requests
-// would be refused in the middle of programs, and all of them would fail.
+// A workspace starts more programs than its rate can carry. If requests that start a program were
+// admitted like all others, requests of running programs would be refused, and all programs would
+// fail.
 #[test]
-fn programs_under_way_go_before_new_ones() {
-    let mut bucket = window(30.0, 30.0);
+fn running_programs_take_precedence_over_new_ones() {
+    let mut shared = window(30.0, 30.0);
     let now = TimeMs(10_000);
     let mut admitted = |claim| {
         (0..300)
-            .filter(|_| bucket.try_admit(now, TOGETHER, claim, &ProgramStats::default()).is_ok())
+            .filter(|_| shared.try_admit(now, ALL_HEARD, claim, &ProgramStats::default()).is_ok())
             .count()
     };
-    let begun = admitted(Claim::StartsProgram { duration_ms: 2_000 });
-    let gone_on = admitted(Claim::Continues);
-    assert!((1..=174).contains(&begun), "{begun}");
-    assert_eq!(begun + gone_on, 180);
+    let starts = admitted(Claim::StartsProgram { duration_ms: 2_000 });
+    let continued = admitted(Claim::Continues);
+    assert!((1..=174).contains(&starts), "{starts}");
+    assert_eq!(starts + continued, 180);
 }
 
-// An entry is restarted while its workspaces send half of what they may. It took their windows for
-// full and refused callers for seconds, though the others could tell that there was room.
+// An entry is restarted while its workspaces use half of their limits. It assumed full windows and
+// refused callers for seconds, although the other entries knew that there was room.
 #[test]
-fn an_entry_that_starts_learns_what_is_in_the_window() {
+fn starting_entry_adopts_the_window_reported_by_others() {
     let mut started = window(10.0, 10.0);
-    (0..6).for_each(|told| started.merge(TimeMs(told * 100), 30.0 - told as f64));
+    (0..6).for_each(|round| started.merge(TimeMs(round * 100), 30.0 - round as f64));
     let now = TimeMs(500);
-    let room = (0..100)
+    let admitted = (0..100)
         .filter(|_| {
-            started.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+            started.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
         })
         .count();
-    assert!((29..=33).contains(&room), "{room}");
+    assert!((29..=33).contains(&admitted), "{admitted}");
 }
 
-// All entries are restarted at once: none knows what was taken before, and each believes the others
-// as little as itself.
+// All entries are restarted at once. None knows what was admitted before, and none may report its
+// assumed window to the others as known.
 #[test]
-fn entries_that_all_start_at_once_take_the_window_for_full() {
-    let (mut here, mut there) = (window(10.0, 10.0), window(10.0, 10.0));
+fn entries_that_start_together_assume_a_full_window() {
+    let (mut local, mut remote) = (window(10.0, 10.0), window(10.0, 10.0));
     assert!(
-        there.try_admit(TimeMs(0), TOGETHER, Claim::Continues, &ProgramStats::default()).is_err()
+        remote.try_admit(TimeMs(0), ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_err()
     );
-    for now in (0..5).map(|told| TimeMs(told * 100)) {
-        assert_eq!(here.in_window(now), None);
-        assert_eq!(there.in_window(now), None);
+    for now in (0..5).map(|round| TimeMs(round * 100)) {
+        assert_eq!(local.in_window(now), None);
+        assert_eq!(remote.in_window(now), None);
     }
-    assert!(here.in_window(TimeMs(5_000)).is_some());
+    assert!(local.in_window(TimeMs(5_000)).is_some());
 }
 
-// One of two entries that tell a new one was cut off from the third and knows of half only.
+// Two entries report the window to a new one. One of them was cut off from a third entry and has
+// counted only a part of the requests.
 #[test]
-fn the_most_that_is_said_counts() {
+fn largest_reported_window_is_adopted() {
     let mut started = window(10.0, 10.0);
-    for told in 0..6 {
-        started.merge(TimeMs(told * 100), 10.0);
-        started.merge(TimeMs(told * 100), 50.0);
+    for round in 0..6 {
+        started.merge(TimeMs(round * 100), 10.0);
+        started.merge(TimeMs(round * 100), 50.0);
     }
     let now = TimeMs(500);
-    let room = (0..100)
+    let admitted = (0..100)
         .filter(|_| {
-            started.try_admit(now, TOGETHER, Claim::Continues, &ProgramStats::default()).is_ok()
+            started.try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default()).is_ok()
         })
         .count();
-    assert!(room <= 15, "{room}");
+    assert!(admitted <= 15, "{admitted}");
 }
--- a/src/quota/tally.rs
+++ b/src/quota/usage_totals.rs
@@ -1,20 +1,20 @@
 use super::Grant;
 use crate::prelude::*;
 
-/// What an entry has taken out of a workspace's rate in its life, less what was given back.
+/// Totals of what one process instance of an entry has admitted for a workspace, less refunds.
 #[wire]
 #[derive(Copy, Default)]
 pub struct UsageTotals {
-    /// Requests.
+    /// Requests admitted.
     pub requests: u64,
-    /// Programs begun.
+    /// Programs started.
     pub programs: u64,
-    /// The time that was booked for them, in all.
+    /// Time booked for these programs, in total.
     pub booked_ms: u64,
 }
 
 impl UsageTotals {
-    /// One more request.
+    /// Adds an admitted request.
     pub(super) fn add(&mut self, grant: Grant) {
         self.requests += 1;
         if let Some(booked_ms) = grant.booked_ms {
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Takes one back that was added.
-    pub(super) fn take_back(&mut self, grant: Grant) {
+    /// Subtracts a request that was added and is refunded.
+    pub(super) fn subtract(&mut self, grant: Grant) {
         self.requests = self.requests.saturating_sub(1);
         if let Some(booked_ms) = grant.booked_ms {
             self.programs = self.programs.saturating_sub(1);
@@ -32,19 +32,19 @@
         }
     }
 
-    /// What has changed since an earlier tally; negative for what was given back.
-    pub(super) fn news_since(&self, before: &UsageTotals) -> News {
-        News {
-            requests: self.requests as f64 - before.requests as f64,
-            programs: self.programs as f64 - before.programs as f64,
-            booked_ms: self.booked_ms as f64 - before.booked_ms as f64,
+    /// The change since earlier totals; negative where more was refunded than added.
+    pub(super) fn delta_since(&self, earlier: &UsageTotals) -> UsageDelta {
+        UsageDelta {
+            requests: self.requests as f64 - earlier.requests as f64,
+            programs: self.programs as f64 - earlier.programs as f64,
+            booked_ms: self.booked_ms as f64 - earlier.booked_ms as f64,
         }
     }
 }
 
-/// A change of a [`Tally`].
+/// A change of the totals, possibly negative.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct News {
+pub(super) struct UsageDelta {
     pub(super) requests: f64,
     pub(super) programs: f64,
     pub(super) booked_ms: f64,
--- a/src/replicas/announcement.rs
+++ b/src/replicas/announcement.rs
@@ -2,34 +2,35 @@
 
 use crate::prelude::*;
 
-/// What an endpoint says of itself.
+/// The state that an endpoint publishes in the platform's endpoint list.
 #[value]
 pub struct Announcement {
-    /// The service it is an endpoint of.
+    /// The service that it belongs to.
     pub service: Arc<str>,
-    /// Where it takes connections.
+    /// Address on which it accepts connections.
     pub address: SocketAddr,
     /// The failure domain it runs in.
     pub failure_domain: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes no new requests.
+    /// Whether it is draining and must not receive new requests.
     pub draining: bool,
-    /// How long it stays cold: slow, and bearing few requests.
+    /// Time for which it remains cold: slow, and able to serve only a few requests per second.
     pub cold_left_ms: u64,
-    /// Unix milliseconds of its start, if it says so. A higher one is a later life.
+    /// Unix time of its start in milliseconds, or 0 if it does not publish one. A higher value
+    /// denotes a newer process instance.
     pub started_at_ms: u64,
-    /// Counts what it announced within one life.
+    /// Sequence number of the announcement within one process instance.
     pub sequence: u64,
 }
 
-/// A change of the platform's list of endpoints.
+/// A change in the platform's endpoint list.
 #[value]
 pub enum EndpointChange {
-    /// An endpoint announced itself.
+    /// An endpoint published a new or updated announcement.
     Announcement(Arc<str>, Announcement),
-    /// Its entry was removed.
+    /// The endpoint's record was removed from the list.
     Removed(Arc<str>),
-    /// Its entry can't be read: it names no endpoint to use.
+    /// The endpoint's record could not be decoded; it is treated like a removed one.
     Unreadable(Arc<str>),
 }
--- a/src/replicas/directory.rs
+++ b/src/replicas/directory.rs
@@ -2,111 +2,118 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::cold::Sends;
+use super::cold_limits::RecentSends;
 use super::{
-    Announcement, AnswerCounts, ColdLimits, ColdShare, EndpointChange, Evacuations, Health,
+    Announcement, AnswerCounts, ColdLimits, EndpointChange, Evacuations, Health, SenderQuota,
 };
 use crate::prelude::*;
 
-/// How long after an outage of the list an entry that has lapsed stays in use. Entries lapse while
-/// their owners can't reach the list; those alive are back about two seconds after its return, so
-/// that dropping them at once would leave no endpoint at all. Counted from the outage's end: an
-/// endpoint that leaves soon after it must not be used for longer than others that leave.
+/// How long after an outage of the endpoint list an endpoint whose record has lapsed stays in use.
+/// Records lapse during an outage because endpoints cannot renew them. Running endpoints are listed
+/// again about two seconds after the list has become available, so removing them at once would
+/// leave no endpoint at all. Counted from the end of the outage: an endpoint that shuts down soon
+/// after it must not stay in use for longer than one that shuts down at another time.
 const LAPSE_GRACE_MS: u64 = 2_200;
 
 new_key_type! {
-    /// An endpoint's place in the directory.
+    /// Key of an endpoint in the directory.
     pub struct ReplicaKey;
 }
 
-/// One endpoint.
+/// The gateway's record of one endpoint.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    /// Its identity; each start has a new one, mostly.
+    /// Its identifier, which usually changes with each start.
     pub id: Arc<str>,
-    /// Stands for the identity in messages between entries.
+    /// Hash of the identifier, which replaces it in messages between entries.
     pub hash: u64,
-    /// What it said last.
+    /// Its latest announcement.
     pub announcement: Announcement,
-    /// Requests that this process has running there.
+    /// Requests in flight from this process.
     pub in_flight: u32,
-    /// Requests that the other entries have running there, as they told last.
+    /// Requests in flight from the other entries, as last reported by them.
     pub others_in_flight: u32,
-    /// Its entry has lapsed: it stays in use until then.
-    lapses_at: Option<TimeMs>,
-    /// It is cold until then, as far as is known.
+    /// If its record has lapsed: the time until which it stays in use.
+    remove_at: Option<TimeMs>,
+    /// Time until which it is assumed to be cold.
     cold_until: TimeMs,
-    sends: Sends,
+    recent_sends: RecentSends,
     health: Health,
 }
 
 impl Replica {
-    /// Requests of all entries running there.
+    /// Requests in flight from all entries.
     pub fn load(&self) -> u32 {
         self.in_flight + self.others_in_flight
     }
 
-    /// What the other entries should hear of its answers.
+    /// Its answer counts to be sent to the other entries, if any.
     pub fn answers_to_share(&self, now: TimeMs) -> Option<AnswerCounts> {
-        self.health.to_tell(now)
+        self.health.answers_to_share(now)
     }
 
-    /// Whether new requests may be sent to it, as far as its own state goes.
-    pub fn usable(&self, now: TimeMs) -> bool {
-        let on_trial = self.health.is_on_trial() && self.in_flight > 0;
-        !self.announcement.draining && !self.health.is_ejected(now) && !on_trial
+    /// Whether it may receive new requests, judged by its announcement and health alone.
+    pub fn is_usable(&self, now: TimeMs) -> bool {
+        let is_busy_on_probation = self.health.is_on_probation() && self.in_flight > 0;
+        !self.announcement.draining && !self.health.is_ejected(now) && !is_busy_on_probation
     }
 
-    /// Whether it has started, or lost its caches, of late.
+    /// Whether it has recently started or lost its caches.
     pub fn is_cold(&self, now: TimeMs) -> bool {
         now < self.cold_until
     }
 
-    fn becomes_cold(&mut self, now: TimeMs, cold_ms: u64) {
+    fn mark_cold(&mut self, now: TimeMs, cold_ms: u64) {
         if cold_ms > 0 && !self.is_cold(now) {
-            log::info!(endpoint:% = self.id, cold_ms; "an endpoint is cold");
+            log::info!(endpoint:% = self.id, cold_ms; "endpoint treated as cold");
         }
         self.cold_until = self.cold_until.max(now.plus(cold_ms));
     }
 }
 
-/// All endpoints known.
+/// All known endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// Tells this process's choices apart from those of the others.
+    /// Makes the retry times of this process differ from those of the others.
     seed: u64,
     replicas: SlotMap<ReplicaKey, Replica>,
     by_id: HashMap<Arc<str>, ReplicaKey>,
     by_hash: HashMap<u64, ReplicaKey>,
     by_service: HashMap<Arc<str>, Vec<ReplicaKey>>,
-    list_back_at: Option<TimeMs>,
+    list_recovered_at: Option<TimeMs>,
     evacuations: Evacuations,
     cold_limits: HashMap<Arc<str>, ColdLimits>,
-    cold_share: ColdShare,
+    sender_quota: SenderQuota,
 }
 
 impl Directory {
-    /// An empty directory. Processes with different seeds try an endpoint that has failed again at
-    /// different moments.
+    /// An empty directory. Processes with different seeds retry a failed endpoint at different
+    /// times.
     pub fn open(seed: u64) -> Directory {
-        Directory { seed, cold_share: ColdShare::open(seed), ..Directory::default() }
+        Directory { seed, sender_quota: SenderQuota::open(seed), ..Directory::default() }
     }
 
-    /// Takes a change in; `false` if it is older than what is known.
+    /// Applies a change of the endpoint list. Returns `false` if the change is older than the known
+    /// state or removes an unknown endpoint.
     pub fn apply(&mut self, now: TimeMs, change: EndpointChange) -> bool {
         match change {
-            EndpointChange::Announcement(id, announcement) => self.announce(now, id, announcement),
-            EndpointChange::Removed(id) | EndpointChange::Unreadable(id) => self.lapse(now, &id),
+            EndpointChange::Announcement(id, announcement) => {
+                self.apply_announcement(now, id, announcement)
+            }
+            EndpointChange::Removed(id) | EndpointChange::Unreadable(id) => {
+                self.apply_removal(now, &id)
+            }
         }
     }
 
-    /// The list can be read again after an outage.
+    /// Records that the list can be read again after an outage.
     pub fn record_list_recovery(&mut self, now: TimeMs) {
-        self.list_back_at = Some(now);
+        self.list_recovered_at = Some(now);
     }
 
-    /// What is evacuated as of `as_of` in the operator's record. Endpoints of domains that may be used
-    /// again count as cold: nothing ran there, and they say so only later.
+    /// Replaces the evacuated failure domains by those at position `as_of` of the operator's log,
+    /// unless a later state is known. Endpoints of restored domains are treated as cold: they have
+    /// served no requests meanwhile, and their announcements show that only later.
     pub fn update_evacuations(&mut self, now: TimeMs, as_of: u64, domains: BTreeSet<Arc<str>>) {
         let restored = self.evacuations.replace(as_of, domains);
         let keys: Vec<_> = self.replicas.keys().collect();
@@ -117,74 +124,83 @@
         }
     }
 
-    /// What is evacuated.
+    /// The evacuated failure domains.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// What the endpoints of each service bear while they are cold.
-    pub fn set_cold_limits(&mut self, rules: HashMap<Arc<str>, ColdLimits>) {
-        self.cold_limits = rules;
+    /// Sets the limits for cold endpoints, by service.
+    pub fn set_cold_limits(&mut self, limits: HashMap<Arc<str>, ColdLimits>) {
+        self.cold_limits = limits;
     }
 
-    /// The other entries that send to these endpoints, known `now`, counted from the start.
+    /// Updates the other entries that send to these endpoints. `now` is the time since process
+    /// start.
     pub fn update_entries(&mut self, now: TimeMs, others: Vec<u64>) {
-        self.cold_share.know(now.0, others);
+        self.sender_quota.update_others(now.0, others);
     }
 
-    /// Whether an endpoint is in a failure domain that may be used, and if it is cold, whether this entry's
-    /// share of what it bears has room.
+    /// Whether an endpoint is outside the evacuated failure domains and, if it is cold, this
+    /// entry's quota for it is not used up.
     pub fn may_send(&self, now: TimeMs, key: ReplicaKey) -> bool {
-        self.replicas
-            .get(key)
-            .is_some_and(|replica| !self.is_evacuated(replica) && self.has_room(now, replica))
+        self.replicas.get(key).is_some_and(|replica| {
+            !self.is_evacuated(replica) && self.within_cold_limits(now, replica)
+        })
     }
 
-    /// Whether an endpoint is in a failure domain that may not be used.
+    /// Whether an endpoint is in an evacuated failure domain.
     pub fn is_evacuated(&self, replica: &Replica) -> bool {
         self.evacuations.contains(&replica.announcement.failure_domain)
     }
 
-    fn has_room(&self, now: TimeMs, replica: &Replica) -> bool {
+    fn within_cold_limits(&self, now: TimeMs, replica: &Replica) -> bool {
         if !replica.is_cold(now) {
             return true;
         }
-        let rule = self.cold_limits.get(&replica.announcement.service);
-        rule.is_none_or(|rule| {
-            replica.sends.within_window(now) < self.cold_share.of(replica.hash, rule)
+        let limits = self.cold_limits.get(&replica.announcement.service);
+        limits.is_none_or(|limits| {
+            replica.recent_sends.count_in_window(now)
+                < self.sender_quota.quota_for(replica.hash, limits)
         })
     }
 
-    /// An endpoint may have started anew or lost its caches, and has not said so yet.
+    /// Treats an endpoint as cold that may have restarted or lost its caches without having
+    /// announced it yet.
     pub fn assume_cold(&mut self, now: TimeMs, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            let rule = self.cold_limits.get(&replica.announcement.service);
-            replica.becomes_cold(now, rule.map_or(0, |rule| rule.duration_ms));
+            let limits = self.cold_limits.get(&replica.announcement.service);
+            replica.mark_cold(now, limits.map_or(0, |limits| limits.duration_ms));
         }
     }
 
-    fn announce(&mut self, now: TimeMs, id: Arc<str>, announcement: Announcement) -> bool {
+    fn apply_announcement(
+        &mut self,
+        now: TimeMs,
+        id: Arc<str>,
+        announcement: Announcement,
+    ) -> bool {
         let cold_ms = announcement.cold_left_ms;
-        let mut sends = Sends::default();
+        let mut recent_sends = RecentSends::default();
         if let Some(key) = self.by_id.get(&id).copied() {
             let known = &self.replicas[key].announcement;
-            let at = (announcement.started_at_ms, announcement.sequence);
-            if at < (known.started_at_ms, known.sequence) {
+            let version = (announcement.started_at_ms, announcement.sequence);
+            if version < (known.started_at_ms, known.sequence) {
                 return false;
             }
-            let same_life = announcement.started_at_ms == known.started_at_ms;
-            if same_life
+            let same_instance = announcement.started_at_ms == known.started_at_ms;
+            if same_instance
                 && announcement.service == known.service
                 && announcement.address == known.address
             {
                 let replica = &mut self.replicas[key];
                 replica.announcement = announcement;
-                replica.lapses_at = None;
-                replica.becomes_cold(now, cold_ms);
+                replica.remove_at = None;
+                replica.mark_cold(now, cold_ms);
                 return true;
             }
-            // What was sent to its address of late may have reached the new life.
-            sends = self.remove(key).map(|earlier| earlier.sends).unwrap_or_default();
+            // Requests recently sent to this address may have reached the new process instance.
+            recent_sends =
+                self.remove(key).map(|previous| previous.recent_sends).unwrap_or_default();
         }
         let service = announcement.service.clone();
         let hash = Digest::of(&[id.as_bytes()]).prefix();
@@ -194,12 +210,12 @@
             announcement,
             in_flight: 0,
             others_in_flight: 0,
-            lapses_at: None,
+            remove_at: None,
             cold_until: TimeMs::default(),
-            sends,
+            recent_sends,
             health: Health::open(self.seed ^ hash),
         };
-        replica.becomes_cold(now, cold_ms);
+        replica.mark_cold(now, cold_ms);
         let key = self.replicas.insert(replica);
         self.by_id.insert(id, key);
         self.by_hash.insert(hash, key);
@@ -207,48 +223,48 @@
         true
     }
 
-    fn lapse(&mut self, now: TimeMs, id: &str) -> bool {
+    fn apply_removal(&mut self, now: TimeMs, id: &str) -> bool {
         let Some(key) = self.by_id.get(id).copied() else {
             return false;
         };
-        match self.list_back_at.map(|back_at| back_at.plus(LAPSE_GRACE_MS)) {
-            Some(lapses_at) if now < lapses_at => {
-                self.replicas[key].lapses_at = Some(lapses_at);
+        match self.list_recovered_at.map(|recovered_at| recovered_at.plus(LAPSE_GRACE_MS)) {
+            Some(remove_at) if now < remove_at => {
+                self.replicas[key].remove_at = Some(remove_at);
             }
             _ => drop(self.remove(key)),
         }
         true
     }
 
-    /// Drops the entries whose grace is over.
+    /// Removes lapsed endpoints whose grace period is over.
     pub fn remove_expired(&mut self, now: TimeMs) {
-        let record_finished = |replica: &Replica| replica.lapses_at.is_some_and(|at| now > at);
-        let gone: Vec<_> =
-            self.replicas.iter().filter(|(_, r)| record_finished(r)).map(|(key, _)| key).collect();
-        gone.into_iter().for_each(|key| drop(self.remove(key)));
+        let is_expired = |replica: &Replica| replica.remove_at.is_some_and(|at| now > at);
+        let expired: Vec<_> =
+            self.replicas.iter().filter(|(_, r)| is_expired(r)).map(|(key, _)| key).collect();
+        expired.into_iter().for_each(|key| drop(self.remove(key)));
     }
 
     fn remove(&mut self, key: ReplicaKey) -> Option<Replica> {
         let replica = self.replicas.remove(key)?;
         self.by_id.remove(&replica.id);
         self.by_hash.remove(&replica.hash);
-        if let Some(of_service) = self.by_service.get_mut(&replica.announcement.service) {
-            of_service.retain(|other| *other != key);
+        if let Some(service_keys) = self.by_service.get_mut(&replica.announcement.service) {
+            service_keys.retain(|other| *other != key);
         }
         Some(replica)
     }
 
-    /// The endpoint at `key`, unless it is gone.
+    /// The endpoint with this key, if it is still known.
     pub fn get(&self, key: ReplicaKey) -> Option<&Replica> {
         self.replicas.get(key)
     }
 
-    /// The endpoint named `id`, unless it is gone.
+    /// The key of the endpoint with this identifier, if it is known.
     pub fn find(&self, id: &str) -> Option<ReplicaKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The endpoint that `hash` stands for, unless it is not known.
+    /// The key of the endpoint whose identifier has this hash, if it is known.
     pub fn find_by_hash(&self, hash: u64) -> Option<ReplicaKey> {
         self.by_hash.get(&hash).copied()
     }
@@ -264,55 +280,58 @@
         self.replicas.iter()
     }
 
-    /// A request was sent there.
+    /// Counts a request sent to an endpoint as in flight.
     pub fn record_sent(&mut self, now: TimeMs, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.in_flight += 1;
-            replica.sends.add(now);
+            replica.recent_sends.record(now);
         }
     }
 
-    /// A request that was sent there is over.
+    /// Counts a request to an endpoint as no longer in flight.
     pub fn record_finished(&mut self, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.in_flight = replica.in_flight.saturating_sub(1);
         }
     }
 
-    /// What the other entries have running there.
+    /// Sets the number of requests that the other entries have in flight at an endpoint.
     pub fn set_others_in_flight(&mut self, key: ReplicaKey, in_flight: u32) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.others_in_flight = in_flight;
         }
     }
 
-    /// It answered a request as it should.
+    /// Records that an endpoint answered a request correctly.
     pub fn record_success(&mut self, now: TimeMs, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.health.record_success(now);
         }
     }
 
-    /// It broke a request off, failed it, or can't be reached.
+    /// Records that an endpoint broke off or failed a request, or is unreachable.
     pub fn record_failure(&mut self, now: TimeMs, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.health.record_failure(now);
         }
     }
 
-    /// Another entry, in the life `life`, had these answers from it; `first` if that entry is heard
-    /// for the first time.
+    /// Merges the answer counts that the entry with process instance `instance` reports for an
+    /// endpoint. `is_first_message` marks the first message from that entry, whose counts serve as
+    /// the baseline for later ones.
     pub fn merge_answers(
         &mut self,
         now: TimeMs,
         key: ReplicaKey,
-        life: u64,
+        instance: u64,
         answers: AnswerCounts,
-        first: bool,
+        is_first_message: bool,
     ) {
         match self.replicas.get_mut(key) {
-            Some(replica) if first => replica.health.meet(now, life, answers),
-            Some(replica) => replica.health.told(now, life, answers),
+            Some(replica) if is_first_message => {
+                replica.health.record_baseline(now, instance, answers)
+            }
+            Some(replica) => replica.health.merge_answers(now, instance, answers),
             None => {}
         }
     }
--- a/src/replicas/evacuations.rs
+++ b/src/replicas/evacuations.rs
@@ -2,35 +2,35 @@
 
 use crate::prelude::*;
 
-/// Failure domains to whose endpoints nothing may be sent.
+/// Failure domains whose endpoints must not receive requests.
 ///
-/// Each entry follows the operator's record, and tells the others what it read up to where: an entry
-/// that alone has lost the record goes by what the others tell.
+/// Each entry reads the operator's log and sends the resulting state, with the log position it is
+/// based on, to the other entries. An entry that alone cannot read the log follows the others.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// Up to where the operator's record is known.
+    /// Position up to which the operator's log has been read.
     as_of: u64,
     domains: BTreeSet<Arc<str>>,
 }
 
 impl Evacuations {
-    /// Up to where the operator's record is known.
+    /// Position up to which the operator's log has been read.
     pub fn as_of(&self) -> u64 {
         self.as_of
     }
 
-    /// The failure domains evacuated now.
+    /// The evacuated failure domains.
     pub fn domains(&self) -> &BTreeSet<Arc<str>> {
         &self.domains
     }
 
-    /// Whether nothing may be sent to the endpoints of `domain`.
+    /// Whether `domain` is evacuated.
     pub fn contains(&self, domain: &str) -> bool {
         self.domains.contains(domain)
     }
 
-    /// What is evacuated as of `as_of`, unless more is known already. Yields the domains that may be
-    /// used again.
+    /// Replaces the evacuated domains by those at log position `as_of`, unless a later state is
+    /// known. Returns the domains that are no longer evacuated.
     pub fn replace(&mut self, as_of: u64, domains: BTreeSet<Arc<str>>) -> Vec<Arc<str>> {
         if as_of < self.as_of || (as_of == self.as_of && domains == self.domains) {
             return Vec::new();
@@ -38,11 +38,11 @@
         self.as_of = as_of;
         let before = std::mem::replace(&mut self.domains, domains);
         for domain in self.domains.difference(&before) {
-            log::info!(domain:%, as_of; "a failure domain is evacuated");
+            log::info!(domain:%, as_of; "failure domain evacuated; its endpoints get no requests");
         }
         let restored: Vec<_> = before.difference(&self.domains).cloned().collect();
         for domain in &restored {
-            log::info!(domain:%, as_of; "a failure domain may be used again");
+            log::info!(domain:%, as_of; "failure domain restored; its endpoints may be used again");
         }
         restored
     }
--- a/src/replicas/health.rs
+++ b/src/replicas/health.rs
@@ -1,58 +1,65 @@
-//! Pattern: an endpoint breaks part or all of its requests off while its health check is good, and
-//! each of many entries sees only a few of its requests. Judged by the answers of all entries
-//! together, it is left out within some hundred milliseconds. When it is tried again, one request
-//! is at stake and not one of every entry: entries return at different moments, with one request at
-//! a time, and the first failure that any of them sees sends all of them away for longer.
+//! Ejects endpoints that fail requests, judged by the answers to the requests themselves.
+//!
+//! An endpoint can break off some or all of its requests while its health check passes, and each of
+//! many entries sees only a few of these requests. Entries therefore exchange their answer counts,
+//! and together they eject such an endpoint within a few hundred milliseconds. Afterwards it is on
+//! probation: entries return to it at different times, each with one request at a time, and the
+//! first failure that any of them sees makes all of them eject it again for longer. A retry thus
+//! costs about one request instead of one per entry.
 
 use std::collections::HashMap;
 
 use crate::prelude::*;
 
-/// Answers are forgotten over about this time: an endpoint of a busy service answers some
-/// ten requests a second; twenty answers tell one that fails in part from one that lost a few.
-const FORGOTTEN_OVER_MS: f64 = 2_000.0;
+/// Time constant of the exponential decay of answer counts. An endpoint of a busy service answers
+/// about ten requests per second, and twenty answers suffice to distinguish an endpoint that fails
+/// some of its requests from one that has lost a few answers.
+const DECAY_MS: f64 = 2_000.0;
 
-/// An endpoint is left out from so many failures on: one or two lost answers happen to any.
-const EJECT_FAILURES: f64 = 2.5;
+/// Minimum number of failures, after decay, for ejection. Any endpoint may lose one or two answers.
+const MIN_FAILURES: f64 = 2.5;
 
-/// And only if they are at least this part of its answers: twice the part that a sound
+/// Minimum ratio of failures to all answers for ejection: twice the ratio of answers that a healthy
 /// network loses in its worst seconds.
-const EJECT_PART: f64 = 0.15;
+const MIN_FAILURE_RATIO: f64 = 0.15;
 
-/// So many failures in a row are enough, however long they take: a seldom used endpoint that serves
-/// nobody would never fail often enough: one that loses one answer in twenty is left out for
-/// nothing once in four hundred requests.
-const EJECT_IN_A_ROW: u32 = 2;
+/// Number of consecutive failures that leads to ejection, however far apart they are: a rarely used
+/// endpoint that fails every request would otherwise never reach `MIN_FAILURES`. The price is that
+/// an endpoint which loses one answer in twenty is ejected needlessly once in four hundred
+/// requests.
+const CONSECUTIVE_FAILURES: u32 = 2;
 
-/// How long an endpoint is left out at least, and at most twice that: entries differ, so that they do
-/// not all return to it at once. Doubled each time that its trial fails.
-const EJECT_MS: u64 = 500;
+/// Minimum duration of an ejection, doubled after each failed probation. Each entry adds a
+/// different amount of up to the same duration, so that not all entries return at once.
+const MIN_EJECTION_MS: u64 = 500;
 
-/// The longest that an endpoint is left out, before the spread: a trial costs one or two
-/// requests of all entries together, and an endpoint that is sound again is missed until then.
-const EJECT_MOST_MS: u64 = 2_000;
+/// Maximum duration of an ejection, not counting the extension that differs by entry. A retry costs
+/// only one or two requests of all entries together, while a longer ejection delays the use of an
+/// endpoint that has recovered.
+const MAX_EJECTION_MS: u64 = 2_000;
 
-/// A trial is passed after so many answers in a row.
-const TRIAL_ANSWERS: u32 = 3;
+/// Number of consecutive answers that end the probation.
+const PROBATION_ANSWERS: u32 = 3;
 
-/// An endpoint that was sound for this long starts afresh.
-const SOUND_AFTER_MS: u64 = 15_000;
+/// Time after the end of an ejection from which the next one has the minimum duration again.
+const EJECTION_RESET_MS: u64 = 15_000;
 
-/// Failures that are told this long after an endpoint was left out belong to requests that were sent
-/// before: a running request ends within that, mostly.
-const LATE_NEWS_MS: u64 = 250;
+/// Failures that become known within this time after an ejection do not extend it: they belong to
+/// requests sent before it, most of which end within this time.
+const LATE_REPORT_MS: u64 = 250;
 
-/// The answers of an endpoint are told to the others for this long after its last failure.
-const TOLD_FOR_MS: u64 = 4_000;
+/// Time after an endpoint's last failure for which its answer counts are sent to the other entries.
+const SHARE_MS: u64 = 4_000;
 
-/// After this long without a failure anywhere, they are counted anew.
-const COUNTED_ANEW_MS: u64 = 6_000;
+/// Time without a failure at any entry after which the counts start anew.
+const COUNT_RESET_MS: u64 = 6_000;
 
-/// What an entry told longer ago than this belongs to an earlier count: less than the time
-/// for which nothing is told between two counts, and many messages.
-const EARLIER_COUNT_MS: u64 = 1_500;
+/// Age from which the counts last received from an entry are taken to belong to an earlier counting
+/// period: shorter than the pause in sending between two periods, and long enough for many
+/// messages.
+const STALE_COUNT_MS: u64 = 1_500;
 
-/// Answers of one endpoint to one entry, since it began to fail.
+/// Numbers of failed and answered requests of one entry at one endpoint, since it began to fail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
     /// Requests broken off or failed, and connections refused.
@@ -61,147 +68,160 @@
     pub served: u32,
 }
 
-/// Answers to all entries, fading.
+/// Answer counts that decay over time.
 #[derive(Debug, Clone, Copy, Default)]
-struct Recent {
+struct DecayingCounts {
     failures: f64,
     served: f64,
-    at: TimeMs,
+    updated_at: TimeMs,
 }
 
-impl Recent {
-    fn add(&mut self, now: TimeMs, more: AnswerCounts) {
-        *self = self.faded(now);
-        self.failures += f64::from(more.failures);
-        self.served += f64::from(more.served);
+impl DecayingCounts {
+    fn add(&mut self, now: TimeMs, added: AnswerCounts) {
+        *self = self.decayed_at(now);
+        self.failures += f64::from(added.failures);
+        self.served += f64::from(added.served);
     }
 
-    fn faded(&self, now: TimeMs) -> Recent {
-        let left = (-(now.since(self.at) as f64) / FORGOTTEN_OVER_MS).exp();
-        Recent { failures: self.failures * left, served: self.served * left, at: now }
+    fn decayed_at(&self, now: TimeMs) -> DecayingCounts {
+        let factor = (-(now.since(self.updated_at) as f64) / DECAY_MS).exp();
+        DecayingCounts {
+            failures: self.failures * factor,
+            served: self.served * factor,
+            updated_at: now,
+        }
     }
 
-    fn condemns(&self) -> bool {
-        let part = self.failures / (self.failures + self.served).max(1.0);
-        self.failures >= EJECT_FAILURES && part >= EJECT_PART
+    fn exceeds_thresholds(&self) -> bool {
+        let ratio = self.failures / (self.failures + self.served).max(1.0);
+        self.failures >= MIN_FAILURES && ratio >= MIN_FAILURE_RATIO
     }
 }
 
-/// What is known of an endpoint from its answers.
+/// The health of an endpoint, derived from its answers.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// Tells this entry's pauses apart from those of the others.
+    /// Makes the ejection times of this entry differ from those of the others.
     seed: u64,
+    /// The counts of this entry, which are sent to the others.
     own: AnswerCounts,
-    own_recent: Recent,
-    told: HashMap<u64, (AnswerCounts, TimeMs)>,
-    recent: Recent,
-    /// Failures since the last answer, of all entries.
-    in_a_row: u32,
+    own_recent: DecayingCounts,
+    /// The counts last received from each other process instance, and when.
+    reported: HashMap<u64, (AnswerCounts, TimeMs)>,
+    /// The counts of all entries since the last ejection.
+    all_recent: DecayingCounts,
+    /// Consecutive failures, as seen by all entries together.
+    consecutive_failures: u32,
     failed_at: Option<TimeMs>,
     ejected_at: TimeMs,
     ejected_until: TimeMs,
     ejections: u32,
-    /// Answers still missing until it counts as sound again.
-    trial_left: u32,
+    /// Number of answers still required to end the probation.
+    probation_answers_left: u32,
 }
 
 impl Health {
-    /// Entries with different seeds return to an endpoint at different moments.
+    /// Entries with different seeds retry an ejected endpoint at different times.
     pub fn open(seed: u64) -> Health {
         Health { seed, ..Health::default() }
     }
 
-    /// A request was answered.
+    /// Records an answered request.
     pub fn record_success(&mut self, now: TimeMs) {
         let one = AnswerCounts { failures: 0, served: 1 };
         self.own.served += 1;
         self.own_recent.add(now, one);
-        self.recent.add(now, one);
-        self.in_a_row = 0;
-        self.trial_left = self.trial_left.saturating_sub(1);
+        self.all_recent.add(now, one);
+        self.consecutive_failures = 0;
+        self.probation_answers_left = self.probation_answers_left.saturating_sub(1);
     }
 
-    /// A request was broken off or failed, or the endpoint could not be reached.
+    /// Records a request that was broken off or failed, or an unreachable endpoint.
     pub fn record_failure(&mut self, now: TimeMs) {
         self.count_failures(now, AnswerCounts { failures: 1, served: 0 });
         self.own.failures += 1;
     }
 
-    /// Another entry, in the life `life`, had these answers from it.
-    pub fn told(&mut self, now: TimeMs, life: u64, answers: AnswerCounts) {
-        let before = match self.told.insert(life, (answers, now)) {
-            Some((before, at)) if now.since(at) < EARLIER_COUNT_MS => before,
+    /// Merges the counts reported by the entry with process instance `instance`.
+    pub fn merge_answers(&mut self, now: TimeMs, instance: u64, answers: AnswerCounts) {
+        let previous = match self.reported.insert(instance, (answers, now)) {
+            Some((previous, at)) if now.since(at) < STALE_COUNT_MS => previous,
             _ => AnswerCounts::default(),
         };
-        let more = AnswerCounts {
-            failures: answers.failures.saturating_sub(before.failures),
-            served: answers.served.saturating_sub(before.served),
+        let added = AnswerCounts {
+            failures: answers.failures.saturating_sub(previous.failures),
+            served: answers.served.saturating_sub(previous.served),
         };
-        if more.served > 0 {
-            self.in_a_row = 0;
+        if added.served > 0 {
+            self.consecutive_failures = 0;
         }
-        match more.failures {
-            0 => self.recent.add(now, more),
-            _ => self.count_failures(now, more),
+        match added.failures {
+            0 => self.all_recent.add(now, added),
+            _ => self.count_failures(now, added),
         }
     }
 
-    /// Another entry is heard for the first time: when it had its answers is not known.
-    pub fn meet(&mut self, now: TimeMs, life: u64, answers: AnswerCounts) {
-        self.told.insert(life, (answers, now));
+    /// Stores the counts of an entry's first message as the baseline for later ones, without
+    /// judging by them: it is not known when these requests were answered.
+    pub fn record_baseline(&mut self, now: TimeMs, instance: u64, answers: AnswerCounts) {
+        self.reported.insert(instance, (answers, now));
     }
 
-    /// What the other entries should hear: this entry's answers, while anybody's have failed of late.
-    pub fn to_tell(&self, now: TimeMs) -> Option<AnswerCounts> {
-        let recent = self.failed_at.is_some_and(|at| now.since(at) < TOLD_FOR_MS);
-        (recent && self.own != AnswerCounts::default()).then_some(self.own)
+    /// The counts to send to the other entries: this entry's own, if any entry has recently seen a
+    /// failure.
+    pub fn answers_to_share(&self, now: TimeMs) -> Option<AnswerCounts> {
+        let is_recent = self.failed_at.is_some_and(|at| now.since(at) < SHARE_MS);
+        (is_recent && self.own != AnswerCounts::default()).then_some(self.own)
     }
 
-    /// Whether it is left out.
+    /// Whether the endpoint is ejected.
     pub fn is_ejected(&self, now: TimeMs) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether it is back on trial: one request at a time.
-    pub fn is_on_trial(&self) -> bool {
-        self.trial_left > 0
+    /// Whether the endpoint is on probation, during which it receives one request at a time.
+    pub fn is_on_probation(&self) -> bool {
+        self.probation_answers_left > 0
     }
 
-    fn count_failures(&mut self, now: TimeMs, more: AnswerCounts) {
-        if self.failed_at.is_none_or(|at| now.since(at) >= COUNTED_ANEW_MS) {
-            let served = self.own_recent.faded(now).served.round() as u32;
+    fn count_failures(&mut self, now: TimeMs, added: AnswerCounts) {
+        if self.failed_at.is_none_or(|at| now.since(at) >= COUNT_RESET_MS) {
+            let served = self.own_recent.decayed_at(now).served.round() as u32;
             self.own = AnswerCounts { failures: 0, served };
         }
         self.failed_at = Some(now);
-        self.recent.add(now, more);
-        self.in_a_row += more.failures;
-        let late_news = now.since(self.ejected_at) < LATE_NEWS_MS;
-        let condemned = match self.is_on_trial() {
-            true => !late_news,
-            false => self.in_a_row >= EJECT_IN_A_ROW || self.recent.condemns(),
+        self.all_recent.add(now, added);
+        self.consecutive_failures += added.failures;
+        let is_late_report = now.since(self.ejected_at) < LATE_REPORT_MS;
+        let must_eject = match self.is_on_probation() {
+            true => !is_late_report,
+            false => {
+                self.consecutive_failures >= CONSECUTIVE_FAILURES
+                    || self.all_recent.exceeds_thresholds()
+            }
         };
-        if condemned {
+        if must_eject {
             self.eject(now);
         }
     }
 
     fn eject(&mut self, now: TimeMs) {
-        if now.since(self.ejected_until) > SOUND_AFTER_MS {
+        if now.since(self.ejected_until) > EJECTION_RESET_MS {
             self.ejections = 0;
         }
-        let out_ms = EJECT_MS.saturating_mul(1 << self.ejections.min(8)).min(EJECT_MOST_MS);
+        let ejection_ms =
+            MIN_EJECTION_MS.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION_MS);
         self.ejections += 1;
         self.ejected_at = now;
-        self.ejected_until = now.plus(out_ms + self.spread(out_ms));
-        self.trial_left = TRIAL_ANSWERS;
-        self.in_a_row = 0;
-        self.recent = Recent { at: now, ..Recent::default() };
+        self.ejected_until = now.plus(ejection_ms + self.jitter_ms(ejection_ms));
+        self.probation_answers_left = PROBATION_ANSWERS;
+        self.consecutive_failures = 0;
+        self.all_recent = DecayingCounts { updated_at: now, ..DecayingCounts::default() };
     }
 
-    /// Between zero and `most_ms`, different for each entry and each time.
-    fn spread(&self, most_ms: u64) -> u64 {
-        let mixed = (self.seed ^ u64::from(self.ejections)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        ((mixed >> 32) * most_ms) >> 32
+    /// A duration below `max_ms` that differs by entry and by ejection.
+    fn jitter_ms(&self, max_ms: u64) -> u64 {
+        let hash = (self.seed ^ u64::from(self.ejections)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        ((hash >> 32) * max_ms) >> 32
     }
 }
--- a/src/replicas/mod.rs
+++ b/src/replicas/mod.rs
@@ -1,7 +1,8 @@
-//! The endpoints of each service as the platform lists them, and the choice among them.
+//! The endpoints of each service, as listed by the platform, and the selection of one for each
+//! request.
 
 mod announcement;
-mod cold;
+mod cold_limits;
 mod directory;
 mod evacuations;
 mod health;
@@ -10,7 +11,7 @@
 mod topology;
 
 pub use announcement::{Announcement, EndpointChange};
-pub use cold::{ColdLimits, ColdShare};
+pub use cold_limits::{ColdLimits, SenderQuota};
 pub use directory::{Directory, Replica, ReplicaKey};
 pub use evacuations::Evacuations;
 pub use health::{AnswerCounts, Health};
--- a/src/replicas/placement.rs
+++ b/src/replicas/placement.rs
@@ -1,135 +1,145 @@
-//! Where a request goes: cache affinity against load.
+//! Selects the endpoint for a request by estimated cost, weighing cache affinity against load.
 //!
-//! Pattern: programs whose turns share a growing prompt, over endpoints whose engines slow down as
-//! they fill. An idle endpoint that has to read the prompt again costs its prefill; one that holds
-//! it and is full costs a wait of about one running request.
+//! The turns of a program share a growing prompt, and engines slow down as they fill. On an idle
+//! endpoint without the prompt in its cache, a request costs the prefill of the prompt; on a full
+//! endpoint that has it cached, the request waits for about one running request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use super::rendezvous::rendezvous;
+use super::rendezvous::rendezvous_weight;
 use super::{Directory, Replica, ReplicaKey, Topology};
 use crate::catalog::Regions;
 use crate::mechanisms::{Mechanism, Mechanisms};
 use crate::prelude::*;
 
-/// What a request waits for at an endpoint without a free slot, for each request beyond its slots.
-const WAIT_EACH_MS: f64 = 10.0;
+/// Estimated wait at an endpoint without a free slot, for each request in excess of its slots.
+const WAIT_PER_REQUEST_MS: f64 = 10.0;
 
-/// What running neighbours cost a request at most, with all slots taken.
-const FULL_BATCH_MS: f64 = 20.0;
+/// Estimated slowdown by concurrent requests when all slots are taken; proportionally less
+/// otherwise.
+const FULL_BATCH_SLOWDOWN_MS: f64 = 20.0;
 
-/// The way to another failure domain and back.
-const OTHER_DOMAIN_MS: f64 = 4.0;
+/// Round-trip time to another failure domain.
+const CROSS_DOMAIN_RTT_MS: f64 = 4.0;
 
-/// What a new connection to an endpoint costs: the way there and back, and the place that it takes among
-/// those that the endpoint accepts. Entries that send seldom would else open one for most requests.
+/// Cost of a new connection to an endpoint: a round trip, and one of the limited number of
+/// connections that the endpoint accepts. Without it, entries that rarely send would open a
+/// connection for most requests.
 const NEW_CONNECTION_MS: f64 = 3.0;
 
-/// What a request costs at another endpoint than that of its object, which has mostly handled it before.
-const OBJECT_AWAY_MS: f64 = 40.0;
+/// Cost of sending a request to an endpoint other than its object's preferred one, which has
+/// usually handled the object before.
+const OBJECT_MISS_MS: f64 = 40.0;
 
-/// Prompt tokens that an engine reads in a millisecond.
+/// Prompt tokens that an engine prefills per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 168.0;
 
-/// From so many endpoints on, at most half of a service's are left out for their failures.
-const EJECT_FROM: usize = 2;
+/// Minimum number of endpoints for the rule that ejected endpoints remain in use if more than half
+/// of a service's endpoints would be excluded otherwise.
+const MIN_ENDPOINTS_FOR_EJECTION_LIMIT: usize = 2;
 
-/// How long a part of a prompt is taken to stay in an endpoint's cache after its last use.
-const CACHED_FOR_MS: u64 = 20_000;
+/// Time after its last use for which a prompt part is assumed to stay in an endpoint's cache.
+const CACHE_TTL_MS: u64 = 20_000;
 
-/// The most parts remembered; the oldest half goes when there are more.
-const PARTS_MOST: usize = 20_000;
+/// Maximum number of cached prompt parts remembered. When exceeded, the older half is dropped.
+const MAX_CACHED_PARTS: usize = 20_000;
 
-/// What is known of a request that has to be placed.
+/// The properties of a request that decide which endpoint it is sent to.
 #[value]
 pub struct PlacementRequest {
-    /// The service.
+    /// The service that must process it.
     pub service: Arc<str>,
-    /// Parts of its prompt in order, as hashes, with their tokens.
+    /// The parts of its prompt in order: the hash and number of tokens of each.
     pub parts: Vec<(u64, u64)>,
-    /// Stands for its object, if an endpoint that has lately handled that is faster.
+    /// Hash of the object that it concerns, if endpoints are faster at objects they have recently
+    /// handled.
     pub object: Option<u64>,
-    /// Where it may run.
+    /// The regions in which it may run.
     pub regions: Regions,
-    /// Endpoints that have refused or failed it.
+    /// Endpoints that must not be selected, because they have refused or failed the request.
     pub excluded: Vec<ReplicaKey>,
-    /// Whether an endpoint that is ejected for its failures is better than none: so it is for what may
-    /// run again, and would be refused else.
+    /// Whether an ejected endpoint may be selected if there is no other: true for requests that may
+    /// run again, which would be refused otherwise.
     pub accepts_ejected: bool,
 }
 
-/// A part of a prompt that an endpoint has read.
+/// A prompt part that an endpoint has cached.
 #[key]
-struct Cached {
-    at: TimeMs,
+struct CachedPart {
+    cached_at: TimeMs,
     tokens: u64,
 }
 
-/// Chooses endpoints, and remembers which have read which parts of prompts.
+/// Selects endpoints, and keeps track of which prompt parts each of them has cached.
 #[derive(Debug, Default)]
 pub struct Placement {
     topology: Topology,
     mechanisms: Mechanisms,
-    cached: HashMap<(ReplicaKey, u64), Cached>,
-    turn: u64,
+    cached: HashMap<(ReplicaKey, u64), CachedPart>,
+    rotation: u64,
 }
 
 impl Placement {
-    /// Chooses for an entry at a place.
+    /// Selects endpoints for an entry whose location is given by `topology`.
     pub fn open(topology: Topology, mechanisms: Mechanisms) -> Placement {
         Placement { topology, mechanisms, ..Placement::default() }
     }
 
-    /// The best usable endpoint, if there is one. `connected` tells whether a connection is kept to an
-    /// address.
+    /// Returns the usable endpoint with the lowest estimated cost, if there is one. `connected`
+    /// tells whether an open connection to an address is available.
     pub fn choose(
         &mut self,
         now: TimeMs,
         directory: &Directory,
-        want: &PlacementRequest,
+        request: &PlacementRequest,
         connected: impl Fn(SocketAddr) -> bool,
     ) -> Option<ReplicaKey> {
-        self.turn = self.turn.wrapping_add(1);
-        let untried = |key: &ReplicaKey| !want.excluded.contains(key);
-        let (mut all, mut usable) = (0, Vec::new());
+        self.rotation = self.rotation.wrapping_add(1);
+        let is_eligible = |key: &ReplicaKey| !request.excluded.contains(key);
+        let (mut active, mut usable) = (0, Vec::new());
         let mut ejected = Vec::new();
-        for (key, replica) in directory.of_service(&want.service) {
-            if !directory.may_send(now, key) || !self.is_allowed(want, replica) {
+        for (key, replica) in directory.of_service(&request.service) {
+            if !directory.may_send(now, key) || !self.is_allowed(request, replica) {
                 continue;
             }
-            all += usize::from(!replica.announcement.draining);
-            match replica.usable(now) {
+            active += usize::from(!replica.announcement.draining);
+            match replica.is_usable(now) {
                 true => usable.push((key, replica)),
                 false if !replica.announcement.draining => ejected.push((key, replica)),
                 false => {}
             }
         }
-        // Where most seem to fail, it is not the endpoints that do.
-        if all >= EJECT_FROM && usable.len() < all / 2 {
+        // If most endpoints seem to fail, the fault probably lies elsewhere: use them all.
+        if active >= MIN_ENDPOINTS_FOR_EJECTION_LIMIT && usable.len() < active / 2 {
             usable.append(&mut ejected);
         }
-        usable.retain(|(key, _)| untried(key));
-        if usable.is_empty() && want.accepts_ejected {
-            usable.extend(ejected.into_iter().filter(|(key, _)| untried(key)));
+        usable.retain(|(key, _)| is_eligible(key));
+        if usable.is_empty() && request.accepts_ejected {
+            usable.extend(ejected.into_iter().filter(|(key, _)| is_eligible(key)));
         }
-        let home = want.object.and_then(|object| home_of(object, &usable));
-        let costs = usable.into_iter().enumerate().map(|(at, (key, replica))| {
+        let preferred = request.object.and_then(|object| preferred_endpoint(object, &usable));
+        let costs = usable.into_iter().enumerate().map(|(index, (key, replica))| {
             let slots = f64::from(replica.announcement.slots.max(1));
             let load = f64::from(replica.load());
-            let wait_ms = (load + 1.0 - slots).max(0.0) * WAIT_EACH_MS;
-            let batch_ms = (load / slots).min(1.0) * FULL_BATCH_MS;
-            let near = replica.announcement.failure_domain == self.topology.domain
+            let wait_ms = (load + 1.0 - slots).max(0.0) * WAIT_PER_REQUEST_MS;
+            let batch_ms = (load / slots).min(1.0) * FULL_BATCH_SLOWDOWN_MS;
+            let same_domain = replica.announcement.failure_domain == self.topology.domain
                 || !self.mechanisms.is_enabled(Mechanism::Locality);
-            let way_ms = if near { 0.0 } else { OTHER_DOMAIN_MS };
-            let read_ms = self.unread_tokens(now, key, &want.parts) as f64 / PREFILL_TOKENS_PER_MS;
-            let is_open = connected(replica.announcement.address)
+            let network_ms = if same_domain { 0.0 } else { CROSS_DOMAIN_RTT_MS };
+            let prefill_ms =
+                self.uncached_tokens(now, key, &request.parts) as f64 / PREFILL_TOKENS_PER_MS;
+            let has_connection = connected(replica.announcement.address)
                 || !self.mechanisms.is_enabled(Mechanism::KeptConnections);
-            let open_ms = if is_open { 0.0 } else { NEW_CONNECTION_MS };
-            let away_ms = if home.is_none_or(|home| home == key) { 0.0 } else { OBJECT_AWAY_MS };
-            let cost_ms = wait_ms + batch_ms + way_ms + read_ms + open_ms + away_ms;
-            // Equal costs are taken in turn, so that idle endpoints share the requests.
-            let tie = (at as u64).wrapping_add(self.turn) % 64;
+            let connect_ms = if has_connection { 0.0 } else { NEW_CONNECTION_MS };
+            let object_ms = if preferred.is_none_or(|preferred| preferred == key) {
+                0.0
+            } else {
+                OBJECT_MISS_MS
+            };
+            let cost_ms = wait_ms + batch_ms + network_ms + prefill_ms + connect_ms + object_ms;
+            // Endpoints of equal cost take turns, so that idle endpoints share the requests.
+            let tie = (index as u64).wrapping_add(self.rotation) % 64;
             (key, cost_ms, tie)
         });
         let best = costs.min_by(|a, b| a.1.total_cmp(&b.1).then(a.2.cmp(&b.2)));
@@ -137,48 +147,51 @@
     }
 
     /// Whether an endpoint is in a region in which the request may run.
-    fn is_allowed(&self, want: &PlacementRequest, replica: &Replica) -> bool {
+    fn is_allowed(&self, request: &PlacementRequest, replica: &Replica) -> bool {
         let region = || self.topology.region_of(&replica.announcement.failure_domain);
-        want.regions.are_all() || want.regions.allow(region())
+        request.regions.allow_all() || request.regions.allow(region())
     }
 
-    /// Tokens that the endpoint would have to read. The last part of a session grows from turn to turn:
-    /// what was read of it before is held.
-    fn unread_tokens(&self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) -> u64 {
-        let all: u64 = parts.iter().map(|(_, tokens)| *tokens).sum();
-        let mut held = 0;
+    /// Prompt tokens that the endpoint would have to prefill. The last part of a session grows from
+    /// turn to turn, and what was cached of it earlier is still valid.
+    fn uncached_tokens(&self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) -> u64 {
+        let total: u64 = parts.iter().map(|(_, tokens)| *tokens).sum();
+        let mut cached_total = 0;
         for (part, tokens) in parts {
             let cached = self.cached.get(&(key, *part));
-            let cached = cached.filter(|cached| now.since(cached.at) < CACHED_FOR_MS);
+            let cached = cached.filter(|cached| now.since(cached.cached_at) < CACHE_TTL_MS);
             let cached_tokens = cached.map_or(0, |cached| cached.tokens.min(*tokens));
-            held += cached_tokens;
+            cached_total += cached_tokens;
             if cached_tokens < *tokens {
                 break;
             }
         }
-        all - held
+        total - cached_total
     }
 
-    /// An endpoint has read these parts.
+    /// Records that an endpoint has prefilled these prompt parts.
     pub fn read(&mut self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) {
         if !self.mechanisms.is_enabled(Mechanism::Affinity) {
             return;
         }
         for (part, tokens) in parts {
-            self.cached.insert((key, *part), Cached { at: now, tokens: *tokens });
+            self.cached.insert((key, *part), CachedPart { cached_at: now, tokens: *tokens });
         }
-        if self.cached.len() > PARTS_MOST {
-            let mut ages: Vec<TimeMs> = self.cached.values().map(|cached| cached.at).collect();
-            ages.sort_unstable();
-            let middle = ages[ages.len() / 2];
-            self.cached.retain(|_, cached| cached.at > middle);
+        if self.cached.len() > MAX_CACHED_PARTS {
+            let mut times: Vec<TimeMs> =
+                self.cached.values().map(|cached| cached.cached_at).collect();
+            times.sort_unstable();
+            let median = times[times.len() / 2];
+            self.cached.retain(|_, cached| cached.cached_at > median);
         }
     }
 }
 
-/// The endpoint that requests about an object go to while it is usable. All entries come to the same one
-/// without a word between them, and each object moves only when its own endpoint comes or goes.
-fn home_of(object: u64, usable: &[(ReplicaKey, &Replica)]) -> Option<ReplicaKey> {
-    let home = usable.iter().max_by_key(|(_, replica)| rendezvous(object, replica.hash));
-    home.map(|(key, _)| *key)
+/// Among the usable endpoints, the preferred one for requests about an object. All entries
+/// determine the same one without communicating, and it changes only if that endpoint becomes
+/// unusable or one that ranks higher becomes usable.
+fn preferred_endpoint(object: u64, usable: &[(ReplicaKey, &Replica)]) -> Option<ReplicaKey> {
+    let preferred =
+        usable.iter().max_by_key(|(_, replica)| rendezvous_weight(object, replica.hash));
+    preferred.map(|(key, _)| *key)
 }
--- a/src/replicas/tests.rs
+++ b/src/replicas/tests.rs
@@ -1,4 +1,4 @@
-mod cold;
+mod cold_limits;
 mod directory;
 mod health;
 mod placement;
@@ -21,20 +21,21 @@
     }
 }
 
-fn at(domain: &str) -> Topology {
+fn topology_in(domain: &str) -> Topology {
     let regions = [("d", "r1"), ("e", "r2")].map(|(domain, region)| (domain.into(), region.into()));
     Topology { domain: domain.into(), region: "r1".into(), regions: regions.into() }
 }
 
-fn with(entries: &[(&str, Announcement)]) -> Directory {
+fn directory_with(endpoints: &[(&str, Announcement)]) -> Directory {
     let mut directory = Directory::default();
-    for (id, entry) in entries {
-        directory.apply(TimeMs(0), EndpointChange::Announcement((*id).into(), entry.clone()));
+    for (id, announcement) in endpoints {
+        directory
+            .apply(TimeMs(0), EndpointChange::Announcement((*id).into(), announcement.clone()));
     }
     directory
 }
 
-fn want(parts: &[(u64, u64)]) -> PlacementRequest {
+fn request(parts: &[(u64, u64)]) -> PlacementRequest {
     PlacementRequest {
         service: "s".into(),
         parts: parts.to_vec(),
--- a/src/replicas/tests/directory.rs
+++ b/src/replicas/tests/directory.rs
@@ -1,17 +1,19 @@
 use super::*;
 
 #[test]
-fn an_older_announcement_changes_nothing() {
-    let mut directory = with(&[("r", announcement("s", 1, 5, 9))]);
+fn an_older_announcement_is_ignored() {
+    let mut directory = directory_with(&[("r", announcement("s", 1, 5, 9))]);
     let old = announcement("s", 1, 5, 8);
     assert!(!directory.apply(TimeMs(1), EndpointChange::Announcement("r".into(), old)));
-    let earlier_life = announcement("s", 1, 4, 100);
-    assert!(!directory.apply(TimeMs(1), EndpointChange::Announcement("r".into(), earlier_life)));
+    let earlier_instance = announcement("s", 1, 4, 100);
+    assert!(
+        !directory.apply(TimeMs(1), EndpointChange::Announcement("r".into(), earlier_instance))
+    );
 }
 
 #[test]
-fn a_later_life_under_the_same_name_starts_afresh() {
-    let mut directory = with(&[("r", announcement("s", 1, 5, 9))]);
+fn a_restart_under_the_same_id_resets_the_record() {
+    let mut directory = directory_with(&[("r", announcement("s", 1, 5, 9))]);
     let before = directory.find("r").expect("known");
     directory.record_sent(TimeMs(0), before);
     assert!(
@@ -24,18 +26,19 @@
 }
 
 #[test]
-fn a_removed_endpoint_is_left_at_once_while_the_list_is_sound() {
-    let mut directory = with(&[("r", announcement("s", 1, 5, 9))]);
+fn a_removed_endpoint_is_dropped_at_once_without_an_outage() {
+    let mut directory = directory_with(&[("r", announcement("s", 1, 5, 9))]);
     directory.apply(TimeMs(10), EndpointChange::Removed("r".into()));
     assert!(directory.find("r").is_none());
 }
 
-// All endpoints vanish from the list when it returns after an outage, since they could not renew
-// their entries meanwhile. Callers would be refused for two seconds though every endpoint runs.
+// When the endpoint list returns after an outage, all records have lapsed because endpoints could
+// not renew them. Removing the endpoints at once would refuse all requests for two seconds although
+// every endpoint is running.
 #[test]
-fn entries_that_lapsed_in_an_outage_stay_until_they_had_time_to_return() {
+fn endpoints_lapsed_in_a_list_outage_stay_for_the_grace_period() {
     let mut directory =
-        with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
+        directory_with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     directory.record_list_recovery(TimeMs(1_000));
     directory.apply(TimeMs(1_100), EndpointChange::Removed("r".into()));
     directory.apply(TimeMs(1_100), EndpointChange::Removed("q".into()));
@@ -50,12 +53,12 @@
     assert!(directory.find("q").is_none());
 }
 
-// One entry can read the list again after an outage; half a second later an endpoint leaves and is
-// removed. Requests kept reaching it for longer than it may be used, since its removal was taken
-// for a lapse and its grace counted from there instead of from the end of the outage.
+// An endpoint shuts down half a second after the end of a list outage. Its removal was taken for a
+// lapse and the grace period counted from the removal instead of from the end of the outage, so
+// that it received requests for too long.
 #[test]
-fn the_grace_of_a_lapse_ends_with_that_of_its_outage() {
-    let mut directory = with(&[("r", announcement("s", 1, 5, 9))]);
+fn the_grace_period_is_counted_from_the_end_of_the_outage() {
+    let mut directory = directory_with(&[("r", announcement("s", 1, 5, 9))]);
     directory.record_list_recovery(TimeMs(1_000));
     directory.apply(TimeMs(1_900), EndpointChange::Removed("r".into()));
     directory.remove_expired(TimeMs(3_300));
--- a/src/replicas/topology.rs
+++ b/src/replicas/topology.rs
@@ -2,13 +2,13 @@
 
 use crate::prelude::*;
 
-/// Where this process is, and which region each failure domain lies in.
+/// The location of this process, and the region of each failure domain.
 #[value]
 #[derive(Default)]
 pub struct Topology {
     /// The process's own failure domain.
     pub domain: Arc<str>,
-    /// Its own region.
+    /// The process's own region.
     pub region: Arc<str>,
     /// The region of each failure domain.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
@@ -20,7 +20,7 @@
         self.regions.get(domain).map(|region| &**region)
     }
 
-    /// Whether there is another region than the process's own.
+    /// Whether any failure domain is in a region other than the process's own.
     pub fn has_other_regions(&self) -> bool {
         self.regions.values().any(|region| *region != self.region)
     }
--- a/src/turns/events.rs
+++ b/src/turns/events.rs
@@ -1,4 +1,5 @@
-/// Reads a stream of server-sent events as it passes, without holding it up.
+/// Incremental parser for a stream of server-sent events. The caller forwards the bytes itself; the
+/// parser only tracks event boundaries, ids and, on request, the data.
 #[derive(Debug, Default)]
 pub struct EventReader {
     line: Vec<u8>,
@@ -12,25 +13,25 @@
 }
 
 impl EventReader {
-    /// A reader that keeps the data of all events.
+    /// A reader that collects the data of all events, for [`EventReader::into_output`].
     pub fn collecting_output() -> EventReader {
         EventReader { output: Some(Vec::new()), ..EventReader::default() }
     }
 
-    /// Takes the next bytes in; yields how many of them belong to events that are whole.
+    /// Parses the next bytes and returns how many of them belong to complete events.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
-        let mut whole = 0;
-        for (at, byte) in bytes.iter().enumerate() {
+        let mut complete_len = 0;
+        for (index, byte) in bytes.iter().enumerate() {
             match byte {
-                b'\n' if self.end_line() => whole = at + 1,
+                b'\n' if self.end_line() => complete_len = index + 1,
                 b'\n' => {}
                 _ => self.line.push(*byte),
             }
         }
-        whole
+        complete_len
     }
 
-    /// Forgets what has come of an event that is not whole.
+    /// Discards the bytes received so far of an incomplete event.
     pub fn discard_partial_event(&mut self) {
         self.line.clear();
         self.data.clear();
@@ -39,7 +40,7 @@
         self.id = None;
     }
 
-    /// Whether the line was blank, and so ended an event.
+    /// Processes a complete line. Returns true for a blank line, which ends an event.
     fn end_line(&mut self) -> bool {
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r").unwrap_or(&line);
@@ -78,28 +79,28 @@
         }
     }
 
-    /// Events that came whole.
+    /// Number of complete events.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// The id of the last event that came whole and had one.
+    /// The id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&[u8]> {
         self.last_id.as_deref()
     }
 
-    /// Whether the stream stands between two events.
+    /// Whether no event has been received in part.
     pub fn at_event_boundary(&self) -> bool {
         self.line.is_empty() && !self.has_field
     }
 
-    /// The data of all events, each followed by a line feed; nothing unless it was to be kept.
+    /// The data of all events, each followed by a line feed; empty unless output was collected.
     pub fn into_output(self) -> Vec<u8> {
         self.output.unwrap_or_default()
     }
 }
 
-/// A field's value, without the one space that may stand before it.
+/// The value of a field, without the single optional space before it.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/src/turns/ledger.rs
+++ b/src/turns/ledger.rs
@@ -1,63 +1,69 @@
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 
-use super::record::{Entry, account_record, decode, turn_record};
+use super::record::{DecodedRecord, account_record, decode, turn_record};
 use super::{Account, ProgramKey, Record, RecordFault, Turn, TurnKey};
 use crate::prelude::*;
 
-/// How much longer than promised a record is kept: clocks of VMs differ, and a successor judges by
-/// its own: twice the difference that the platform allows for.
-const KEPT_LONGER_MS: u64 = 10_000;
+/// How long a record is kept beyond its `kept_until`. The clocks of VMs differ, and the next owner
+/// of the shard compares with its own; this is twice the difference that the platform allows for.
+const RETENTION_GRACE_MS: u64 = 10_000;
 
-/// A program has spent its budget: the turn is not run.
+/// The program's token budget is exhausted; the turn is not run.
 #[value]
 #[derive(Copy)]
-pub struct Spent {
-    /// Tokens handed out or promised to turns under way.
+pub struct BudgetExhausted {
+    /// Tokens delivered to callers, plus tokens reserved for turns in flight.
     pub used: u64,
-    /// The program's budget.
+    /// The program's budget, in tokens.
     pub budget: u64,
 }
 
-impl fmt::Display for Spent {
+impl fmt::Display for BudgetExhausted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} of {} tokens are spent or promised", self.used, self.budget)
+        write!(
+            f,
+            "token budget exhausted: {} of {} tokens are spent or reserved",
+            self.used, self.budget
+        )
     }
 }
 
-impl std::error::Error for Spent {}
+impl std::error::Error for BudgetExhausted {}
 
-/// Numbers the records of one account.
+/// Sequence number of a record of one account.
 #[key]
 pub struct AccountVersion(u64);
 
-/// A program's account while its shard is owned.
+/// In-memory state of a program's account while this entry owns the shard.
 #[derive(Debug, Default)]
-struct Running {
+struct AccountState {
     spent: u64,
-    /// The most that the turns under way may generate.
-    under_way: u64,
+    /// Maximum number of tokens that the turns in flight may generate.
+    in_flight: u64,
     kept_until: UnixMs,
-    /// What the newest record known to be durable counts: spent and reserved. A successor takes it all
-    /// for spent.
-    counted: u64,
-    /// What the records count that are not known to be durable yet, oldest first.
+    /// Spent and reserved tokens in the newest record known to be durable. The next owner of the
+    /// shard counts both as spent.
+    durable_total: u64,
+    /// The same sum for each record that is not known to be durable yet, oldest first.
     pending: VecDeque<(AccountVersion, u64)>,
-    newest: u64,
+    /// Version of the newest record, durable or not.
+    last_version: u64,
 }
 
-impl Running {
-    /// What a successor counts whichever of the records turns out to be the last that was written.
-    fn counted_for_sure(&self) -> u64 {
-        let pending = self.pending.iter().map(|(_, counted)| *counted);
-        pending.fold(self.counted, u64::min)
+impl AccountState {
+    /// The least that the next owner counts as spent, whichever record turns out to be the last in
+    /// the log.
+    fn min_total(&self) -> u64 {
+        let pending = self.pending.iter().map(|(_, total)| *total);
+        pending.fold(self.durable_total, u64::min)
     }
 
-    /// Writes the account, with `ahead` reserved for a turn to come.
-    fn write(&mut self, key: ProgramKey, ahead: u64) -> (Record, AccountVersion) {
-        let reserved = self.under_way + ahead;
-        self.newest += 1;
-        let version = AccountVersion(self.newest);
+    /// Creates the next record of the account, with `ahead` tokens reserved for a future turn.
+    fn next_record(&mut self, key: ProgramKey, ahead: u64) -> (Record, AccountVersion) {
+        let reserved = self.in_flight + ahead;
+        self.last_version += 1;
+        let version = AccountVersion(self.last_version);
         self.pending.push_back((version, self.spent + reserved));
         let account = Account { spent: self.spent, reserved, kept_until: self.kept_until };
         (account_record(key, Some(&account)), version)
@@ -68,33 +74,35 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     turns: HashMap<TurnKey, Turn>,
-    accounts: HashMap<ProgramKey, Running>,
+    accounts: HashMap<ProgramKey, AccountState>,
 }
 
 impl Ledger {
-    /// Takes in a record of the log. What an earlier owner had reserved counts as spent, since it
-    /// may have handed it out.
+    /// Loads a record from the log. Tokens that an earlier owner reserved count as spent, since it
+    /// may have delivered them.
     pub fn load(&mut self, key: &str, value: &[u8]) -> Result<(), RecordFault> {
         match decode(key, value)? {
-            Entry::Turn(key, turn) => {
+            DecodedRecord::Turn(key, turn) => {
                 self.turns.insert(key, turn);
             }
-            Entry::Account(key, Account { spent, reserved, kept_until }) => {
+            DecodedRecord::Account(key, Account { spent, reserved, kept_until }) => {
                 let spent = spent + reserved;
-                let counted = spent;
-                self.accounts
-                    .insert(key, Running { spent, counted, kept_until, ..Running::default() });
+                let durable_total = spent;
+                self.accounts.insert(
+                    key,
+                    AccountState { spent, durable_total, kept_until, ..AccountState::default() },
+                );
             }
         }
         Ok(())
     }
 
-    /// A turn that was answered whole.
+    /// A completed turn.
     pub fn turn(&self, key: TurnKey) -> Option<&Turn> {
         self.turns.get(&key)
     }
 
-    /// The turn and all before it, oldest first; nothing unless the chain is whole.
+    /// The turn and all its predecessors, oldest first; none if any of them is missing.
     pub fn chain(&self, last: TurnKey) -> Option<Vec<(TurnKey, &Turn)>> {
         let mut chain = Vec::new();
         let mut next = Some(last);
@@ -107,78 +115,85 @@
         Some(chain)
     }
 
-    /// Reserves the most that a turn may generate; yields the record that has to be durable before
-    /// its first token is handed out, unless an earlier one has reserved ahead.
+    /// Reserves the maximum number of tokens that a turn may generate. Returns the record that must
+    /// be durable before the turn's first token is delivered, or none if an earlier record already
+    /// covers the reservation.
     ///
-    /// A turn starts while anything is left, so that a program may pass its budget by less than one
-    /// turn; what turns under way may still generate counts as spent until they are over. Each
-    /// record reserves one turn ahead: a program whose turns follow each other needs one record a
-    /// turn instead of two, and loses at most one turn's tokens when its owner dies.
+    /// A turn may start while any budget is left, so a program can exceed its budget by less than
+    /// one turn. What turns in flight may still generate counts as spent until they end. Each
+    /// record reserves one turn ahead: a program that runs its turns in sequence needs one record
+    /// per turn instead of two, and loses at most one turn's tokens when the owner crashes.
     pub fn reserve(
         &mut self,
         key: ProgramKey,
         budget: u64,
-        most: u64,
+        max_tokens: u64,
         kept_until: UnixMs,
-    ) -> Result<Option<(Record, AccountVersion)>, Spent> {
+    ) -> Result<Option<(Record, AccountVersion)>, BudgetExhausted> {
         let account = self.accounts.entry(key).or_default();
-        let used = account.spent + account.under_way;
+        let used = account.spent + account.in_flight;
         if used >= budget {
-            return Err(Spent { used, budget });
+            return Err(BudgetExhausted { used, budget });
         }
-        account.under_way += most;
+        account.in_flight += max_tokens;
         account.kept_until = account.kept_until.max(kept_until);
-        // What turns before have used counts too: their records may not be durable yet.
-        let covered = account.spent + account.under_way <= account.counted_for_sure();
-        Ok((!covered).then(|| account.write(key, most)))
+        // Tokens spent by earlier turns count too: their records may not be durable yet.
+        let is_covered = account.spent + account.in_flight <= account.min_total();
+        Ok((!is_covered).then(|| account.next_record(key, max_tokens)))
     }
 
-    /// A turn is over: `used` of the `most` that it had reserved was handed out.
-    pub fn settle(&mut self, key: ProgramKey, most: u64, used: u64) -> (Record, AccountVersion) {
+    /// Ends a turn that reserved `max_tokens` tokens and delivered `used` of them.
+    pub fn settle(
+        &mut self,
+        key: ProgramKey,
+        max_tokens: u64,
+        used: u64,
+    ) -> (Record, AccountVersion) {
         let account = self.accounts.entry(key).or_default();
-        account.under_way = account.under_way.saturating_sub(most);
+        account.in_flight = account.in_flight.saturating_sub(max_tokens);
         account.spent += used;
-        account.write(key, most)
+        account.next_record(key, max_tokens)
     }
 
-    /// Charges tokens that another process has generated without a record of this account; yields the
-    /// record, if there is anything to charge. Unlike a turn that starts here, they must fit what is
-    /// left whole: the one turn by which a program may pass its budget may be under way here already.
+    /// Charges tokens that another process generated without writing a record of this account.
+    /// Returns the record, or none if there is nothing to charge. Unlike a turn that starts here,
+    /// the tokens must fit completely into the remaining budget: the one turn by which a program
+    /// may exceed its budget may already be in flight here.
     pub fn charge(
         &mut self,
         key: ProgramKey,
         budget: u64,
         tokens: u64,
         kept_until: UnixMs,
-    ) -> Result<Option<Record>, Spent> {
+    ) -> Result<Option<Record>, BudgetExhausted> {
         if tokens == 0 {
             return Ok(None);
         }
         let account = self.accounts.entry(key).or_default();
-        let used = account.spent + account.under_way;
+        let used = account.spent + account.in_flight;
         if used + tokens > budget {
-            return Err(Spent { used, budget });
+            return Err(BudgetExhausted { used, budget });
         }
         account.spent += tokens;
         account.kept_until = account.kept_until.max(kept_until);
-        Ok(Some(account.write(key, 0).0))
+        Ok(Some(account.next_record(key, 0).0))
     }
 
-    /// A record of the account is durable, and so are those before it.
+    /// Marks a record of the account, and all earlier ones, as durable.
     pub fn mark_durable(&mut self, key: ProgramKey, version: AccountVersion) {
         let Some(account) = self.accounts.get_mut(&key) else {
             return;
         };
-        while let Some((oldest, counted)) = account.pending.front().copied() {
+        while let Some((oldest, total)) = account.pending.front().copied() {
             if oldest > version {
                 return;
             }
             account.pending.pop_front();
-            account.counted = counted;
+            account.durable_total = total;
         }
     }
 
-    /// A turn was answered whole. Its chain is kept as long as it is.
+    /// Stores a completed turn. The turns before it are kept for at least as long.
     pub fn complete(&mut self, key: TurnKey, turn: Turn) -> Record {
         let record = turn_record(key, Some(&turn));
         let kept_until = turn.kept_until;
@@ -191,25 +206,30 @@
         record
     }
 
-    /// Takes over turns that another shard holds, so that this one holds the whole chain.
+    /// Copies turns that another shard holds, so that this one holds the complete chain. Returns
+    /// the records of those that were missing.
     pub fn import_turns(&mut self, turns: Vec<(TurnKey, Turn)>) -> Vec<Record> {
         let missing = turns.into_iter().filter(|(key, _)| !self.turns.contains_key(key));
         let missing: Vec<_> = missing.collect();
         missing.into_iter().map(|(key, turn)| self.complete(key, turn)).collect()
     }
 
-    /// Forgets what is kept no longer, and yields the records that drop it from the log.
+    /// Removes expired turns and accounts, and returns the records that delete them from the log.
     pub fn expire(&mut self, now: UnixMs) -> Vec<Record> {
-        let over = |kept_until: UnixMs| now.since(kept_until) > KEPT_LONGER_MS;
-        let turns: Vec<_> =
-            self.turns.iter().filter(|(_, t)| over(t.kept_until)).map(|(key, _)| *key).collect();
+        let is_expired = |kept_until: UnixMs| now.since(kept_until) > RETENTION_GRACE_MS;
+        let turns: Vec<_> = self
+            .turns
+            .iter()
+            .filter(|(_, t)| is_expired(t.kept_until))
+            .map(|(key, _)| *key)
+            .collect();
         let accounts: Vec<_> = self
             .accounts
             .iter()
-            .filter(|(_, a)| over(a.kept_until) && a.under_way == 0)
+            .filter(|(_, a)| is_expired(a.kept_until) && a.in_flight == 0)
             .map(|(key, _)| *key)
             .collect();
-        self.turns.retain(|_, turn| !over(turn.kept_until));
+        self.turns.retain(|_, turn| !is_expired(turn.kept_until));
         accounts.iter().for_each(|key| {
             self.accounts.remove(key);
         });
--- a/src/turns/mod.rs
+++ b/src/turns/mod.rs
@@ -1,14 +1,14 @@
-//! Histories and token budgets of the programs of one shard: state without I/O.
+//! Turn histories and token budgets of the programs of one shard, as state without I/O.
 //!
-//! Each change yields the records that make it durable. Who may write them is decided elsewhere, by
-//! the epoch under which they are appended.
+//! Each change returns the records that make it durable. Whether this process may write them is
+//! decided elsewhere, by the epoch under which they are appended to the log.
 
 mod events;
 mod ledger;
 mod record;
 
 pub use events::EventReader;
-pub use ledger::{AccountVersion, Ledger, Spent};
+pub use ledger::{AccountVersion, BudgetExhausted, Ledger};
 pub use record::{Account, ProgramKey, Record, RecordFault, Turn, TurnKey};
 
 #[cfg(test)]
--- a/src/turns/tests/properties.rs
+++ b/src/turns/tests/properties.rs
@@ -4,83 +4,87 @@
 use proptest::test_runner::{Config, RngSeed};
 
 use crate::prelude::*;
-use crate::turns::record::{Entry, decode};
+use crate::turns::record::{DecodedRecord, decode};
 use crate::turns::*;
 
-const MOST: u64 = 60;
+const MAX_TOKENS: u64 = 60;
 
-/// A step of one program's turns and of the store.
+/// An event that affects the account of one program.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A turn begins.
-    Begin,
-    /// The oldest turn under way ends, after so many tokens.
+    /// A turn starts.
+    Start,
+    /// The oldest turn in flight ends after generating this many tokens.
     End(u64),
-    /// The store acknowledges so many more records.
+    /// The store acknowledges this many more records.
     Acknowledge(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        Just(Step::Begin),
-        (0..=MOST).prop_map(Step::End),
+        Just(Step::Start),
+        (0..=MAX_TOKENS).prop_map(Step::End),
         (1..4_usize).prop_map(Step::Acknowledge),
     ];
     proptest::collection::vec(step, 1..60)
 }
 
-/// What a successor counts as spent that finds `record` as the last of the account.
-fn counted(record: &Record) -> u64 {
-    let value = record.value.as_deref().expect("accounts are not dropped here");
-    match decode(&record.key, value).expect("written by ourselves") {
-        Entry::Account(_, account) => account.spent + account.reserved,
-        Entry::Turn(..) => unreachable!("only accounts are written here"),
+/// Tokens that the next owner counts as spent if `record` is the last one of the account.
+fn counted_as_spent(record: &Record) -> u64 {
+    let value = record.value.as_deref().expect("accounts are not deleted in this test");
+    match decode(&record.key, value).expect("a record written by the ledger decodes") {
+        DecodedRecord::Account(_, account) => account.spent + account.reserved,
+        DecodedRecord::Turn(..) => unreachable!("only accounts are written in this test"),
     }
 }
 
-/// One program at one owner, and a store that acknowledges its records in order.
+/// One program at one owner, with a store that acknowledges the owner's records in order.
 #[derive(Default)]
-struct Played {
+struct Simulation {
     ledger: Ledger,
+    /// All records of the account, in order.
     written: Vec<(Record, AccountVersion)>,
+    /// How many of them the store has acknowledged.
     durable: usize,
-    /// Tokens of turns that are over.
-    handed_out: u64,
-    /// Turns under way, with the record that each waits for.
-    under_way: Vec<Option<AccountVersion>>,
+    /// Tokens delivered by turns that have ended.
+    delivered: u64,
+    /// Turns in flight, each with the record that must be durable before its first token.
+    in_flight: Vec<Option<AccountVersion>>,
+    /// Records that a turn waits for.
     waiting: HashSet<AccountVersion>,
-    /// Whether the ledger is told of all records that are durable, or only of those that turns wait for.
-    tells_all: bool,
+    /// Whether the ledger is notified of every durable record, or only of those that turns wait
+    /// for.
+    acknowledge_all: bool,
 }
 
-impl Played {
+impl Simulation {
     fn key() -> ProgramKey {
         ProgramKey::of("w", "p")
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
-            Step::Begin => {
-                let reserved = self.ledger.reserve(Self::key(), u64::MAX, MOST, UnixMs(1));
-                let reserved = reserved.expect("no budget");
+            Step::Start => {
+                let reserved = self.ledger.reserve(Self::key(), u64::MAX, MAX_TOKENS, UnixMs(1));
+                let reserved = reserved.expect("the budget is unlimited");
                 let version = reserved.map(|(record, version)| {
                     self.written.push((record, version));
                     self.waiting.insert(version);
                     version
                 });
-                self.under_way.push(version);
+                self.in_flight.push(version);
             }
-            Step::End(tokens) if !self.under_way.is_empty() => {
-                let turn = self.under_way.remove(0);
-                let used = if self.may_hand_out(turn) { *tokens } else { 0 };
-                self.handed_out += used;
-                self.written.push(self.ledger.settle(Self::key(), MOST, used));
+            Step::End(tokens) if !self.in_flight.is_empty() => {
+                let turn = self.in_flight.remove(0);
+                let used = if self.may_deliver(turn) { *tokens } else { 0 };
+                self.delivered += used;
+                self.written.push(self.ledger.settle(Self::key(), MAX_TOKENS, used));
             }
             Step::End(_) => {}
             Step::Acknowledge(records) => {
                 let until = (self.durable + records).min(self.written.len());
                 for (_, version) in &self.written[self.durable..until] {
-                    if self.waiting.remove(version) || self.tells_all {
+                    if self.waiting.remove(version) || self.acknowledge_all {
                         self.ledger.mark_durable(Self::key(), *version);
                     }
                 }
@@ -89,19 +93,19 @@
         }
     }
 
-    fn may_hand_out(&self, turn: Option<AccountVersion>) -> bool {
+    fn may_deliver(&self, turn: Option<AccountVersion>) -> bool {
         turn.is_none_or(|version| !self.waiting.contains(&version))
     }
 
-    /// The most that callers may have got by now.
-    fn handed_out_at_most(&self) -> u64 {
-        let running = self.under_way.iter().filter(|turn| self.may_hand_out(**turn));
-        self.handed_out + running.count() as u64 * MOST
+    /// The most tokens that callers may have received by now.
+    fn max_delivered(&self) -> u64 {
+        let running = self.in_flight.iter().filter(|turn| self.may_deliver(**turn));
+        self.delivered + running.count() as u64 * MAX_TOKENS
     }
 
-    /// What a successor would count now.
-    fn counted(&self) -> u64 {
-        self.written[..self.durable].last().map_or(0, |(record, _)| counted(record))
+    /// Tokens that the next owner would count as spent if this one crashed now.
+    fn counted_by_next_owner(&self) -> u64 {
+        self.written[..self.durable].last().map_or(0, |(record, _)| counted_as_spent(record))
     }
 }
 
@@ -113,16 +117,19 @@
         ..Config::default()
     })]
 
-    // Whenever the owner dies, whichever of its records the store has by then, its successor counts at
-    // least what callers have got. Else a program gets tokens of its budget a second time.
+    // Whenever the owner crashes, and whichever of its records are durable by then, the next owner
+    // must count at least the tokens that callers have received. Otherwise the program could spend
+    // part of its budget twice.
     #[test]
-    fn a_successor_counts_all_that_was_handed_out(steps in steps(), tells_all: bool) {
-        let mut played = Played { tells_all, ..Played::default() };
+    fn next_owner_counts_all_delivered_tokens(steps in steps(), acknowledge_all: bool) {
+        let mut simulation = Simulation { acknowledge_all, ..Simulation::default() };
         for step in &steps {
-            played.play(step);
+            simulation.apply(step);
             prop_assert!(
-                played.handed_out_at_most() <= played.counted(),
-                "{} handed out, {} counted", played.handed_out_at_most(), played.counted()
+                simulation.max_delivered() <= simulation.counted_by_next_owner(),
+                "{} tokens delivered, {} counted",
+                simulation.max_delivered(),
+                simulation.counted_by_next_owner()
             );
         }
     }
