--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use trefoilproxy::endpoint::{OrderPolicy, ServiceOrder, Waiting};
+use trefoilproxy::endpoint::{OrderPolicy, QueueOrder, SchedulingKey};
 use trefoilproxy::prelude::*;
 
 /// Time between two tokens of a stream that runs by itself.
@@ -46,9 +46,9 @@
     /// Everything takes so many times as long.
     pub slowness: f64,
     pub reported: (u64, u32),
-    queue: Vec<(Job, Waiting)>,
+    queue: Vec<(Job, SchedulingKey)>,
     running: Vec<Running>,
-    order: ServiceOrder,
+    order: QueueOrder,
     cache: HashMap<ProgramId, u64>,
     recent: VecDeque<ProgramId>,
     pub recomputed: u64,
@@ -73,7 +73,7 @@
             reported: (0, 0),
             queue: Vec::new(),
             running: Vec::new(),
-            order: ServiceOrder::new(order),
+            order: QueueOrder::new(order),
             cache: HashMap::new(),
             recent: VecDeque::new(),
             recomputed: 0,
@@ -94,7 +94,7 @@
         if !self.alive || self.queue.len() >= QUEUE {
             return Err(job);
         }
-        let waiting = Waiting {
+        let waiting = SchedulingKey {
             workspace: job.program.workspace.clone(),
             since: TimeMs(now),
             attained_tokens: job.attained,
@@ -141,7 +141,7 @@
 
     fn start(&mut self, now: u64) {
         while self.running.len() < CONCURRENCY && !self.queue.is_empty() {
-            let waiting: Vec<Waiting> = self.queue.iter().map(|(_, w)| w.clone()).collect();
+            let waiting: Vec<SchedulingKey> = self.queue.iter().map(|(_, w)| w.clone()).collect();
             let Some(index) = self.order.next(TimeMs(now), &waiting) else {
                 return;
             };
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -8,7 +8,7 @@
 use trefoilproxy::endpoint::OrderPolicy;
 use trefoilproxy::prelude::*;
 use trefoilproxy::programs::PlaceRequest;
-use trefoilproxy::routing::{EndpointView, Router, RoutingPolicy, Shedding};
+use trefoilproxy::routing::{EndpointView, Router, RoutingPolicy, SheddingPolicy};
 
 use crate::engines::{End, Engine, Job, REPORT_MS};
 use crate::random::Random;
@@ -112,7 +112,7 @@
         load: f64,
         routing: RoutingPolicy,
         order: OrderPolicy,
-        shedding: Shedding,
+        shedding: SheddingPolicy,
         seed: u64,
     ) -> Run {
         let engines = (0..deployment.engines).map(|index| Engine::new(index, order));
@@ -250,11 +250,11 @@
         let views: Vec<EndpointView> = live
             .map(|engine| EndpointView {
                 endpoint: engine.endpoint.clone(),
-                reported: engine.reported.1,
+                reported_load: engine.reported.1,
                 concurrency: Engine::concurrency(),
                 reported_at: TimeMs(engine.reported.0),
-                near: false,
-                seed: EndpointView::seed_of(&engine.endpoint.vm),
+                in_same_domain: false,
+                vm_hash: EndpointView::vm_hash(&engine.endpoint.vm),
             })
             .collect();
         let digest = Digest::of(&[program.id.name.as_bytes(), &program.turn.to_le_bytes()]);
@@ -317,7 +317,7 @@
             program.finished = Some(now);
             let (id, parent, entry) = (program.id.clone(), program.parent, program.entry);
             self.engines.iter_mut().for_each(|engine| engine.free(&id));
-            self.routers[entry].forget(&id);
+            self.routers[entry].remove_program(&id);
             if let Some(parent) = parent {
                 self.due(now, Due::Turn(parent));
             }
--- a/lab/src/rates.rs
+++ b/lab/src/rates.rs
@@ -5,8 +5,8 @@
 use std::collections::{BinaryHeap, HashMap};
 
 use trefoilproxy::admission::{
-    Admission, BorrowRequest, Borrower, Bucket, Lender, LendingTimes, Loan, STOCK_FROM_CALLS,
-    StaticSplit,
+    AdmissionDecision, BorrowRequest, Borrower, Lender, LendingTimes, Loan, MIN_CALLS_TO_PREFETCH,
+    StaticSplit, TokenBucket,
 };
 use trefoilproxy::contracts::Contract;
 use trefoilproxy::prelude::*;
@@ -82,14 +82,14 @@
 
 /// What an ideal single bucket admits, and what was admitted beyond any window's allowance.
 struct Referee {
-    ideal: Vec<Bucket>,
-    limit: Vec<Bucket>,
+    ideal: Vec<TokenBucket>,
+    limit: Vec<TokenBucket>,
     balance: Vec<i64>,
 }
 
 impl Referee {
     fn new(workspaces: usize, contract: &Contract) -> Referee {
-        let full = Bucket::full(contract.rate_per_s.into(), contract.burst.into(), TimeMs(0));
+        let full = TokenBucket::full(contract.rate_per_s.into(), contract.burst.into(), TimeMs(0));
         Referee {
             ideal: vec![full.clone(); workspaces],
             limit: vec![full; workspaces],
@@ -103,13 +103,13 @@
 
     fn judge(&mut self, outcome: &mut Outcome, call: &Call, admitted_at: Option<u64>) {
         outcome.offered += 1;
-        let within = self.ideal[call.workspace].take(TimeMs(call.at_ms)).is_ok();
+        let within = self.ideal[call.workspace].try_take(TimeMs(call.at_ms)).is_ok();
         outcome.within_rate += u64::from(within);
         // Of a workspace beyond its rate some calls are refused by right, whichever: it is wronged
         // only by as much as it gets less than the ideal.
         self.balance[call.workspace] += i64::from(within) - i64::from(admitted_at.is_some());
         if let Some(at) = admitted_at {
-            outcome.excess += u64::from(self.limit[call.workspace].take(TimeMs(at)).is_err());
+            outcome.excess += u64::from(self.limit[call.workspace].try_take(TimeMs(at)).is_err());
         }
     }
 }
@@ -134,13 +134,13 @@
 }
 
 fn one_owner(calls: &[Call], workspaces: usize, contract: &Contract) -> Outcome {
-    let full = Bucket::full(contract.rate_per_s.into(), contract.burst.into(), TimeMs(0));
+    let full = TokenBucket::full(contract.rate_per_s.into(), contract.burst.into(), TimeMs(0));
     let mut buckets = vec![full; workspaces];
     let mut referee = Referee::new(workspaces, contract);
     let mut outcome = blank();
     for call in calls {
         let at = call.at_ms + ROUND_TRIP_MS / 2;
-        let admitted = buckets[call.workspace].take(TimeMs(at)).is_ok();
+        let admitted = buckets[call.workspace].try_take(TimeMs(at)).is_ok();
         outcome.exchanges += 1;
         referee.judge(&mut outcome, call, admitted.then_some(at));
     }
@@ -177,8 +177,9 @@
 
 fn lent_shares(calls: &[Call], entries: usize, workspaces: usize, contract: &Contract) -> Outcome {
     let names: Vec<WorkspaceId> = (0..workspaces).map(name).collect();
-    let mut borrowers: Vec<Borrower> =
-        (0..entries).map(|index| Borrower::new(Instance(index as u64), STOCK_FROM_CALLS)).collect();
+    let mut borrowers: Vec<Borrower> = (0..entries)
+        .map(|index| Borrower::new(Instance(index as u64), MIN_CALLS_TO_PREFETCH))
+        .collect();
     let mut lender = Lender::first(LendingTimes::default(), TimeMs(0));
     let limits = (u64::from(contract.rate_per_s), u64::from(contract.burst));
     let mut referee = Referee::new(workspaces, contract);
@@ -192,24 +193,24 @@
                 let workspace = &names[call.workspace];
                 let borrower = &mut borrowers[call.entry];
                 let ask = match borrower.admit(TimeMs(at), workspace) {
-                    Admission::Admitted => {
+                    AdmissionDecision::Admitted => {
                         referee.judge(&mut outcome, call, Some(at));
-                        borrower.is_low(workspace).then_some(0)
+                        borrower.should_prefetch(workspace).then_some(0)
                     }
-                    Admission::Refused { .. } => {
+                    AdmissionDecision::Refused { .. } => {
                         referee.judge(&mut outcome, call, None);
                         None
                     }
-                    Admission::Ask if at > call.at_ms + PATIENCE_MS => {
+                    AdmissionDecision::NeedsLoan if at > call.at_ms + PATIENCE_MS => {
                         referee.judge(&mut outcome, call, None);
                         None
                     }
-                    Admission::Ask => {
+                    AdmissionDecision::NeedsLoan => {
                         agenda.add(at + ROUND_TRIP_MS + 1, Happening::Retries(index));
                         Some(1)
                     }
                 };
-                let question = ask.and_then(|n| borrower.ask(TimeMs(at), workspace, n));
+                let question = ask.and_then(|n| borrower.next_request(TimeMs(at), workspace, n));
                 if let Some(question) = question {
                     let arrives = at + ROUND_TRIP_MS / 2;
                     agenda.add(arrives, Happening::AtLender(call.entry, question));
@@ -222,7 +223,7 @@
                 agenda.add(arrives, Happening::Answered(entry, question, loan));
             }
             Happening::Answered(entry, question, loan) => {
-                borrowers[entry].lent(TimeMs(at), &question, loan);
+                borrowers[entry].record_loan(TimeMs(at), &question, loan);
             }
         }
     }
--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -8,11 +8,11 @@
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use trefoilproxy::admission::{BorrowRequest, Lender, LendingTimes};
 use trefoilproxy::contracts::{Book, ConfigRecord, KeyDigest, KeyId, Operation, parse_declaration};
-use trefoilproxy::membership::{Duty, Heartbeat, PeerState, PeerTable, Timings};
+use trefoilproxy::membership::{Heartbeat, LivenessTimeouts, PeerState, PeerTable, RoleStatus};
 use trefoilproxy::prelude::*;
 use trefoilproxy::programs::{
-    Finish, IntentRecord, Message, OutcomeRecord, PlaceRequest, Record, ShardFold, StoredRecord,
-    TurnResult, Usage,
+    FinishReason, IntentRecord, Message, OutcomeRecord, PlaceRequest, Record, ShardState,
+    StoredRecord, TurnResult, Usage,
 };
 use trefoilproxy::routing::{EndpointView, Router, RoutingPolicy};
 
@@ -77,7 +77,7 @@
                 messages: vec![Message::text("user", &"a".repeat(asked))],
                 result: TurnResult::Answered {
                     text: "b".repeat(answered).into(),
-                    finish: Finish::Stop,
+                    finish: FinishReason::Stop,
                     usage: Usage { prompt_tokens: 1, completion_tokens: 50 },
                 },
                 charge_tokens: 50,
@@ -107,7 +107,7 @@
         let started = Instant::now();
         let read: Vec<StoredRecord<Record>> =
             text.iter().filter_map(|line| serde_json::from_str(line).ok()).collect();
-        let fold = ShardFold::of_stream(Offset(1), &read);
+        let fold = ShardState::from_records(Offset(1), &read);
         let ms = started.elapsed().as_secs_f64() * 1_000.0;
         let ns = per(started, read.len());
         let records = read.len();
@@ -132,11 +132,11 @@
         let views: Vec<EndpointView> = (0..endpoints)
             .map(|index| EndpointView {
                 endpoint: EndpointRef { vm: vm(&format!("m{index}")), instance: Instance(1) },
-                reported: (index % 7) as u32,
+                reported_load: (index % 7) as u32,
                 concurrency: 16,
                 reported_at: TimeMs(0),
-                near: index % 4 == 0,
-                seed: EndpointView::seed_of(&vm(&format!("m{index}"))),
+                in_same_domain: index % 4 == 0,
+                vm_hash: EndpointView::vm_hash(&vm(&format!("m{index}"))),
             })
             .collect();
         let mut router = Router::new(RoutingPolicy::CacheAffinity, 1);
@@ -179,7 +179,7 @@
         address: "10.1.2.3:7000".parse().expect("an address"),
         control: "10.1.2.3:7001".parse().expect("an address"),
         state: PeerState::Live,
-        duty: Duty::Entry { config: Offset(1_000_000), log_age_ms: Some(100), owned },
+        role_status: RoleStatus::Entry { config: Offset(1_000_000), log_age_ms: Some(100), owned },
     }
 }
 
@@ -191,7 +191,7 @@
     );
     for entries in [4, 16, 64, 350] {
         let bytes = heartbeat(1, 1_000_000, 2).encode().len();
-        let mut table = PeerTable::new(Timings::for_heartbeat(250));
+        let mut table = PeerTable::new(LivenessTimeouts::for_heartbeat(250));
         let rounds = 200_000 / entries;
         let datagrams: Vec<Vec<u8>> =
             (0..entries).map(|number| heartbeat(number, 1, 2).encode()).collect();
@@ -200,7 +200,7 @@
             for datagram in &datagrams {
                 if let Some(mut heartbeat) = Heartbeat::decode(datagram) {
                     heartbeat.sequence = round as u64 + 2;
-                    table.heard(TimeMs(round as u64), heartbeat);
+                    table.record_heartbeat(TimeMs(round as u64), heartbeat);
                 }
             }
         }
--- a/lab/src/tables.rs
+++ b/lab/src/tables.rs
@@ -1,7 +1,7 @@
 //! The tables of routing, order of service and overload, over five seeds.
 
 use trefoilproxy::endpoint::OrderPolicy;
-use trefoilproxy::routing::{RoutingPolicy, Shedding};
+use trefoilproxy::routing::{RoutingPolicy, SheddingPolicy};
 
 use crate::policies::{
     BIOGAS_LEDGER, COUNTED_UNTIL_MS, Deployment, ICE_WATCH, Run, Score, WARM_UP_MS,
@@ -27,7 +27,7 @@
     load: f64,
     routing: RoutingPolicy,
     order: OrderPolicy,
-    shedding: Shedding,
+    shedding: SheddingPolicy,
 ) {
     let scores: Vec<Score> = SEEDS
         .iter()
@@ -98,10 +98,10 @@
             RoutingPolicy::LeastReported,
             RoutingPolicy::CacheAffinity,
         ] {
-            row(deployment, 1.0, routing, OrderPolicy::FairThenAttained, Shedding::Fair);
+            row(deployment, 1.0, routing, OrderPolicy::FairThenAttained, SheddingPolicy::Fair);
         }
         for order in [OrderPolicy::Fifo, OrderPolicy::FairShare] {
-            row(deployment, 1.0, RoutingPolicy::CacheAffinity, order, Shedding::Fair);
+            row(deployment, 1.0, RoutingPolicy::CacheAffinity, order, SheddingPolicy::Fair);
         }
     }
 }
@@ -111,7 +111,7 @@
     head();
     let order = OrderPolicy::FairThenAttained;
     for load in [1.0, 2.0, 3.0, 5.0] {
-        for shedding in [Shedding::None, Shedding::NewPrograms, Shedding::Fair] {
+        for shedding in [SheddingPolicy::None, SheddingPolicy::NewPrograms, SheddingPolicy::Fair] {
             row(ICE_WATCH, load, RoutingPolicy::CacheAffinity, order, shedding);
         }
     }
@@ -124,7 +124,7 @@
     for flood in [0, 1, 4] {
         println!("{flood} programs of the flooding workspace for each of the others'");
         let deployment = Deployment { flood, ..BIOGAS_LEDGER };
-        for shedding in [Shedding::None, Shedding::NewPrograms, Shedding::Fair] {
+        for shedding in [SheddingPolicy::None, SheddingPolicy::NewPrograms, SheddingPolicy::Fair] {
             for order in [OrderPolicy::Fifo, OrderPolicy::FairThenAttained] {
                 row(deployment, 1.5, affinity, order, shedding);
             }
--- a/src/admission/borrower.rs
+++ b/src/admission/borrower.rs
@@ -6,11 +6,11 @@
 /// What became of a call that asks to be let in.
 #[value]
 #[derive(Copy)]
-pub enum Admission {
+pub enum AdmissionDecision {
     /// It is in.
     Admitted,
     /// The share is used up: ask the lender.
-    Ask,
+    NeedsLoan,
     /// The lender had none: come back after this time.
     Refused {
         /// The time.
@@ -40,7 +40,7 @@
 
 /// Calls used between two questions from which on more are borrowed than wait. Below it each call
 /// asks: shares kept in stock at many entries are missing where the next call comes in.
-pub const STOCK_FROM_CALLS: u64 = 16;
+pub const MIN_CALLS_TO_PREFETCH: u64 = 16;
 /// Over what time the use of a share is counted.
 const COUNT_MS: u64 = 100;
 /// How long a stock is borrowed for.
@@ -59,7 +59,7 @@
     }
 
     /// Lets a call in if a share allows it.
-    pub fn admit(&mut self, now: TimeMs, workspace: &WorkspaceId) -> Admission {
+    pub fn admit(&mut self, now: TimeMs, workspace: &WorkspaceId) -> AdmissionDecision {
         let share = self.shares.entry(workspace.clone()).or_default();
         if share.expires <= now {
             share.calls = 0;
@@ -67,17 +67,17 @@
         if share.calls > 0 {
             share.calls -= 1;
             share.used_now += 1;
-            return Admission::Admitted;
+            return AdmissionDecision::Admitted;
         }
         match share.refused_until > now {
-            true => Admission::Refused { wait_ms: share.refused_until.since(now) },
-            false => Admission::Ask,
+            true => AdmissionDecision::Refused { wait_ms: share.refused_until.since(now) },
+            false => AdmissionDecision::NeedsLoan,
         }
     }
 
     /// The question to send, unless one is under way: wanted is what was used since the last one
     /// and the `waiting` calls.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         now: TimeMs,
         workspace: &WorkspaceId,
@@ -112,7 +112,7 @@
 
     /// Takes the answer to a question. The time runs from the question, before the lender's own
     /// count began, so that a share is over here before the lender lends it again.
-    pub fn lent(&mut self, now: TimeMs, request: &BorrowRequest, loan: Loan) {
+    pub fn record_loan(&mut self, now: TimeMs, request: &BorrowRequest, loan: Loan) {
         let Some(share) = self.shares.get_mut(&request.workspace) else {
             return;
         };
@@ -135,7 +135,7 @@
     }
 
     /// Takes note that a question got no answer.
-    pub fn unanswered(&mut self, request: &BorrowRequest) {
+    pub fn record_failed_request(&mut self, request: &BorrowRequest) {
         let share = self.shares.get_mut(&request.workspace);
         if let Some(share) = share.filter(|share| share.sequence == request.sequence) {
             share.asked = None;
@@ -143,7 +143,7 @@
     }
 
     /// Whether a share is about to be used up, so that asking early spares the next call a wait.
-    pub fn is_low(&self, workspace: &WorkspaceId) -> bool {
+    pub fn should_prefetch(&self, workspace: &WorkspaceId) -> bool {
         self.shares.get(workspace).is_some_and(|share| {
             share.used_lately >= self.stock_from_calls && share.calls <= share.used_lately / 4
         })
--- a/src/admission/bucket.rs
+++ b/src/admission/bucket.rs
@@ -5,22 +5,22 @@
 
 /// A token bucket: at most `burst` calls at once and `rate` a second over time.
 #[value]
-pub struct Bucket {
+pub struct TokenBucket {
     rate_per_s: u64,
     burst: u64,
     level_milli: u64,
     refilled: TimeMs,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn full(rate_per_s: u64, burst: u64, now: TimeMs) -> Bucket {
-        Bucket { rate_per_s, burst, level_milli: burst * MILLI, refilled: now }
+    pub fn full(rate_per_s: u64, burst: u64, now: TimeMs) -> TokenBucket {
+        TokenBucket { rate_per_s, burst, level_milli: burst * MILLI, refilled: now }
     }
 
     /// An empty bucket.
-    pub fn empty(rate_per_s: u64, burst: u64, now: TimeMs) -> Bucket {
-        Bucket { rate_per_s, burst, level_milli: 0, refilled: now }
+    pub fn empty(rate_per_s: u64, burst: u64, now: TimeMs) -> TokenBucket {
+        TokenBucket { rate_per_s, burst, level_milli: 0, refilled: now }
     }
 
     /// Follows a change of the contract. The level never rises by it.
@@ -38,7 +38,7 @@
     }
 
     /// Takes one call, or says after which time there will be one.
-    pub fn take(&mut self, now: TimeMs) -> Result<(), u64> {
+    pub fn try_take(&mut self, now: TimeMs) -> Result<(), u64> {
         self.refill(now);
         if self.level_milli >= MILLI {
             self.level_milli -= MILLI;
--- a/src/admission/lender.rs
+++ b/src/admission/lender.rs
@@ -1,6 +1,6 @@
 use std::collections::HashMap;
 
-use crate::admission::Bucket;
+use crate::admission::TokenBucket;
 use crate::prelude::*;
 
 /// Times that lender and borrowers agree on.
@@ -10,7 +10,7 @@
     /// How long a share lasts on its borrower's clock.
     pub lend_ms: u64,
     /// How long a lender may lend after it last saw that it still owns its shard.
-    pub authority_ms: u64,
+    pub confirmation_valid_ms: u64,
     /// By how much clocks of two VMs may differ over such a time, in thousandths.
     pub drift_per_mille: u64,
 }
@@ -24,7 +24,7 @@
     /// How long a new lender waits before it lends: the one before it may lend for
     /// `authority_ms` after the claim, and the last share that it lends lasts for `lend_ms`.
     pub fn quarantine_ms(&self) -> u64 {
-        self.stretched(self.authority_ms + self.lend_ms)
+        self.stretched(self.confirmation_valid_ms + self.lend_ms)
     }
 
     fn stretched(&self, ms: u64) -> u64 {
@@ -34,7 +34,7 @@
 
 impl Default for LendingTimes {
     fn default() -> LendingTimes {
-        LendingTimes { lend_ms: 1_000, authority_ms: 1_000, drift_per_mille: 10 }
+        LendingTimes { lend_ms: 1_000, confirmation_valid_ms: 1_000, drift_per_mille: 10 }
     }
 }
 
@@ -74,7 +74,7 @@
 }
 
 struct Account {
-    bucket: Bucket,
+    bucket: TokenBucket,
     rate_per_s: u64,
     burst: u64,
     loans: HashMap<Instance, Outstanding>,
@@ -125,14 +125,14 @@
         if now < self.opens_at {
             return refusal(self.opens_at.since(now));
         }
-        if now.since(confirmed) >= self.times.authority_ms {
-            return refusal(self.times.authority_ms);
+        if now.since(confirmed) >= self.times.confirmation_valid_ms {
+            return refusal(self.times.confirmation_valid_ms);
         }
         let (opens_at, starts_full) = (self.opens_at, self.starts_full);
         let account = self.accounts.entry(request.workspace.clone()).or_insert_with(|| {
             let bucket = match starts_full {
-                true => Bucket::full(rate_per_s, burst, opens_at),
-                false => Bucket::empty(rate_per_s, burst, opens_at),
+                true => TokenBucket::full(rate_per_s, burst, opens_at),
+                false => TokenBucket::empty(rate_per_s, burst, opens_at),
             };
             Account { bucket, rate_per_s, burst, loans: HashMap::new() }
         });
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -8,8 +8,8 @@
 mod lender;
 mod split;
 
-pub use borrower::{Admission, Borrower, STOCK_FROM_CALLS};
-pub use bucket::Bucket;
+pub use borrower::{AdmissionDecision, Borrower, MIN_CALLS_TO_PREFETCH};
+pub use bucket::TokenBucket;
 pub use lender::{BorrowRequest, Lender, LendingTimes, Loan};
 pub use split::StaticSplit;
 
--- a/src/admission/split.rs
+++ b/src/admission/split.rs
@@ -1,6 +1,6 @@
 use std::collections::HashMap;
 
-use crate::admission::Bucket;
+use crate::admission::TokenBucket;
 use crate::contracts::Contract;
 use crate::prelude::*;
 
@@ -8,7 +8,7 @@
 /// too much, but a balancer that favours one entry makes it refuse what the contract allows.
 #[derive(Default)]
 pub struct StaticSplit {
-    buckets: HashMap<WorkspaceId, Bucket>,
+    buckets: HashMap<WorkspaceId, TokenBucket>,
 }
 
 impl StaticSplit {
@@ -23,9 +23,11 @@
         let entries = entries.max(1) as u64;
         let rate = u64::from(contract.rate_per_s) / entries;
         let burst = (u64::from(contract.burst) / entries).max(1);
-        let bucket =
-            self.buckets.entry(workspace.clone()).or_insert_with(|| Bucket::full(rate, burst, now));
+        let bucket = self
+            .buckets
+            .entry(workspace.clone())
+            .or_insert_with(|| TokenBucket::full(rate, burst, now));
         bucket.set_limits(rate, burst, now);
-        bucket.take(now)
+        bucket.try_take(now)
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -2,12 +2,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-use super::{Admission, BorrowRequest, Borrower, Bucket, Lender, LendingTimes, Loan};
+use super::{AdmissionDecision, BorrowRequest, Borrower, Lender, LendingTimes, Loan, TokenBucket};
 use crate::prelude::*;
 
 const RATE: u64 = 20;
 const BURST: u64 = 10;
-const TIMES: LendingTimes = LendingTimes { lend_ms: 500, authority_ms: 400, drift_per_mille: 10 };
+const TIMES: LendingTimes =
+    LendingTimes { lend_ms: 500, confirmation_valid_ms: 400, drift_per_mille: 10 };
 
 fn workspace() -> WorkspaceId {
     WorkspaceId::parse("ice").unwrap()
@@ -59,10 +60,10 @@
         let now = self.local(index);
         let borrower = &mut self.borrowers[index].0;
         match borrower.admit(now, &workspace()) {
-            Admission::Admitted => self.admitted.push(self.now),
-            Admission::Refused { .. } => {}
-            Admission::Ask => {
-                if let Some(question) = borrower.ask(now, &workspace(), 3) {
+            AdmissionDecision::Admitted => self.admitted.push(self.now),
+            AdmissionDecision::Refused { .. } => {}
+            AdmissionDecision::NeedsLoan => {
+                if let Some(question) = borrower.next_request(now, &workspace(), 3) {
                     self.questions.push((index, lender % self.lenders.len(), question));
                 }
             }
@@ -89,7 +90,7 @@
         if !self.answers.is_empty() {
             let (index, question, loan) = self.answers.remove(arg % self.answers.len());
             let now = self.local(index);
-            self.borrowers[index].0.lent(now, &question, loan);
+            self.borrowers[index].0.record_loan(now, &question, loan);
         }
     }
 
@@ -110,8 +111,8 @@
 
     /// Calls admitted beyond rate and burst, over every window.
     fn excess(&self) -> u64 {
-        let mut bucket = Bucket::full(RATE, BURST, TimeMs(0));
-        self.admitted.iter().filter(|at| bucket.take(TimeMs(**at)).is_err()).count() as u64
+        let mut bucket = TokenBucket::full(RATE, BURST, TimeMs(0));
+        self.admitted.iter().filter(|at| bucket.try_take(TimeMs(**at)).is_err()).count() as u64
     }
 }
 
@@ -168,7 +169,7 @@
 fn a_lender_without_authority_lends_nothing() {
     let mut lender = Lender::new(TIMES, TimeMs(0));
     let later = TimeMs(5_000);
-    let confirmed = TimeMs(5_000 - TIMES.authority_ms);
+    let confirmed = TimeMs(5_000 - TIMES.confirmation_valid_ms);
     assert_eq!(lender.lend(later, confirmed, (RATE, BURST), &question(1, 0, 5)).calls, 0);
     assert_eq!(lender.lend(later, later, (RATE, BURST), &question(2, 0, 5)).calls, 5);
 }
--- a/src/contracts/book.rs
+++ b/src/contracts/book.rs
@@ -3,7 +3,7 @@
 use crate::contracts::record::WorkspaceSnapshot;
 use crate::contracts::{BookSnapshot, ConfigRecord, Contract, KeyDigest, KeyId, Operation};
 use crate::prelude::*;
-use crate::programs::Standing;
+use crate::programs::CrashStatus;
 
 /// A change that lost against another.
 #[wire]
@@ -113,21 +113,21 @@
 
     /// What is known of a call that may crash engines, together with crashes that the log may
     /// not have yet.
-    pub fn standing(
+    pub fn crash_status(
         &self,
         workspace: &WorkspaceId,
         digest: &Digest,
         unrecorded: &[Crash],
-    ) -> Standing {
+    ) -> CrashStatus {
         let mut crashes = self.crashes(workspace, digest).iter().chain(unrecorded);
         // Beside others a call is only a suspect: calls that ran on two engines which another
         // call crashed would otherwise be given up on with it.
         if crashes.clone().any(|crash| crash.alone) {
-            return Standing::GivenUp;
+            return CrashStatus::Poison;
         }
         match crashes.next() {
-            Some(_) => Standing::Suspect,
-            None => Standing::Clear,
+            Some(_) => CrashStatus::Suspect,
+            None => CrashStatus::Clear,
         }
     }
 
--- a/src/daemon/pulse.rs
+++ b/src/daemon/pulse.rs
@@ -5,7 +5,7 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 use crate::http::Client;
-use crate::membership::{Duty, Heartbeat, PeerState, PeerTable, Timings, VmList};
+use crate::membership::{Heartbeat, LivenessTimeouts, PeerState, PeerTable, RoleStatus, VmList};
 use crate::prelude::*;
 use crate::settings::ProcessSettings;
 use crate::time::Clock;
@@ -48,9 +48,13 @@
                 address,
                 control,
                 state: PeerState::Live,
-                duty: Duty::Entry { config: Offset(0), log_age_ms: None, owned: Vec::new() },
+                role_status: RoleStatus::Entry {
+                    config: Offset(0),
+                    log_age_ms: None,
+                    owned: Vec::new(),
+                },
             },
-            table: PeerTable::new(Timings::for_heartbeat(settings.heartbeat_ms)),
+            table: PeerTable::new(LivenessTimeouts::for_heartbeat(settings.heartbeat_ms)),
             listed_at: None,
             beats,
         }
@@ -62,19 +66,24 @@
     }
 
     /// Waits for the next beat and sends it to every listed entry.
-    pub async fn beat(&mut self, state: PeerState, duty: Duty) {
+    pub async fn beat(&mut self, state: PeerState, role_status: RoleStatus) {
         self.beats.tick().await;
         if let Some(list) = self.refresh_list().await {
-            self.table.listed(list);
+            self.table.set_vm_list(list);
         }
         let targets = self.table.heartbeat_targets();
-        self.send(state, duty, &targets).await;
+        self.send(state, role_status, &targets).await;
     }
 
     /// Sends a heartbeat at once.
-    pub async fn send(&mut self, state: PeerState, duty: Duty, targets: &[SocketAddr]) {
+    pub async fn send(
+        &mut self,
+        state: PeerState,
+        role_status: RoleStatus,
+        targets: &[SocketAddr],
+    ) {
         self.template.sequence += 1;
-        let heartbeat = Heartbeat { state, duty, ..self.template.clone() };
+        let heartbeat = Heartbeat { state, role_status, ..self.template.clone() };
         let datagram = heartbeat.encode();
         for target in targets.iter().filter(|target| **target != heartbeat.address) {
             let _ = self.socket.send_to(&datagram, target).await;
--- a/src/endpoint/backend.rs
+++ b/src/endpoint/backend.rs
@@ -8,11 +8,11 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::endpoint::desk::cache_key;
+use crate::endpoint::scheduler::cache_key;
 use crate::http::{CallError, Client, LineReader};
 use crate::prelude::*;
 use crate::programs::{
-    Attempt, AttemptFrame, AttemptWork, FailureCause, Finish, TurnResult, Usage,
+    Attempt, AttemptFrame, AttemptWork, FailureCause, FinishReason, TurnResult, Usage,
 };
 
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -73,7 +73,7 @@
 enum Step {
     Nothing,
     Text(Arc<str>),
-    Finished(Finish, Usage),
+    Finished(FinishReason, Usage),
     Cancelled,
 }
 
@@ -219,7 +219,7 @@
         }
     }
 
-    fn done(&self, finish: Finish, usage: Usage) -> AttemptFrame {
+    fn done(&self, finish: FinishReason, usage: Usage) -> AttemptFrame {
         let text = self.text.as_str().into();
         AttemptFrame::Done { result: TurnResult::Answered { text, finish, usage } }
     }
@@ -242,8 +242,8 @@
     });
     Some(match (choice.finish_reason.as_deref(), choice.delta.content) {
         (Some("cancelled"), _) => Step::Cancelled,
-        (Some("length"), _) => Step::Finished(Finish::Length, usage),
-        (Some(_), _) => Step::Finished(Finish::Stop, usage),
+        (Some("length"), _) => Step::Finished(FinishReason::Length, usage),
+        (Some(_), _) => Step::Finished(FinishReason::Stop, usage),
         (None, Some(text)) => Step::Text(text.into()),
         (None, None) => Step::Nothing,
     })
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,20 +1,20 @@
 //! The process beside an endpoint: fences, orders and runs attempts, and frees engine memory.
 
 mod backend;
-mod desk;
 mod finished;
 mod leases;
 mod order;
 mod process;
+mod scheduler;
 mod server;
 
 pub use backend::{Backend, BackendRun};
-pub use desk::{Desk, DeskAction, DeskLimits, Submission};
 pub use finished::{Finished, Recall};
 pub use leases::CacheLeases;
-pub use order::{OrderPolicy, ServiceOrder, Waiting};
+pub use order::{OrderPolicy, QueueOrder, SchedulingKey};
 pub use process::run;
-pub use server::ATTEMPTS;
+pub use scheduler::{AttemptScheduler, SchedulerAction, SchedulerLimits, Submission};
+pub use server::ATTEMPTS_PATH;
 
 #[cfg(test)]
 mod tests;
--- a/src/endpoint/order.rs
+++ b/src/endpoint/order.rs
@@ -17,7 +17,7 @@
 
 /// An attempt that waits, as far as its order goes.
 #[value]
-pub struct Waiting {
+pub struct SchedulingKey {
     /// Its workspace.
     pub workspace: WorkspaceId,
     /// When it came.
@@ -33,7 +33,7 @@
 const MAX_WAIT_MS: u64 = 5_000;
 
 /// Decides the order of service.
-pub struct ServiceOrder {
+pub struct QueueOrder {
     policy: OrderPolicy,
     /// Service that each workspace has had, in tokens, from a common start.
     served: HashMap<WorkspaceId, u64>,
@@ -41,16 +41,16 @@
     level: u64,
 }
 
-impl ServiceOrder {
+impl QueueOrder {
     /// An order by this policy.
-    pub fn new(policy: OrderPolicy) -> ServiceOrder {
-        ServiceOrder { policy, served: HashMap::new(), level: 0 }
+    pub fn new(policy: OrderPolicy) -> QueueOrder {
+        QueueOrder { policy, served: HashMap::new(), level: 0 }
     }
 
     /// The index of the attempt to start next.
-    pub fn next(&self, now: TimeMs, waiting: &[Waiting]) -> Option<usize> {
+    pub fn next(&self, now: TimeMs, waiting: &[SchedulingKey]) -> Option<usize> {
         let indexed = waiting.iter().enumerate();
-        let first = |key: &dyn Fn(&Waiting) -> (u64, u64, TimeMs)| {
+        let first = |key: &dyn Fn(&SchedulingKey) -> (u64, u64, TimeMs)| {
             indexed.clone().min_by_key(|(_, w)| key(w)).map(|(index, _)| index)
         };
         let overdue = waiting.iter().any(|w| now.since(w.since) >= MAX_WAIT_MS);
@@ -65,7 +65,7 @@
     }
 
     /// Counts an attempt that starts.
-    pub fn started(&mut self, attempt: &Waiting) {
+    pub fn started(&mut self, attempt: &SchedulingKey) {
         let service = self.service_of(attempt);
         self.level = self.level.max(service);
         self.served.insert(attempt.workspace.clone(), service + attempt.cost_tokens.max(1));
@@ -74,7 +74,7 @@
     }
 
     /// A workspace that was idle starts level with the others: unused service is not saved up.
-    fn service_of(&self, attempt: &Waiting) -> u64 {
+    fn service_of(&self, attempt: &SchedulingKey) -> u64 {
         self.served.get(&attempt.workspace).copied().unwrap_or(0).max(self.level)
     }
 }
--- a/src/endpoint/process.rs
+++ b/src/endpoint/process.rs
@@ -8,10 +8,12 @@
 
 use crate::daemon::{Admin, DaemonError, Pulse, Shutdown};
 use crate::endpoint::server;
-use crate::endpoint::{Backend, Desk, DeskAction, DeskLimits, OrderPolicy, Submission};
+use crate::endpoint::{
+    AttemptScheduler, Backend, OrderPolicy, SchedulerAction, SchedulerLimits, Submission,
+};
 use crate::http::{Client, ServerLimits, serve};
 use crate::link::{ControlReply, ControlRequest, LinkServer};
-use crate::membership::{Duty, PeerState};
+use crate::membership::{PeerState, RoleStatus};
 use crate::prelude::*;
 use crate::programs::{Attempt, AttemptFrame, FailureCause};
 use crate::settings::EndpointSettings;
@@ -30,7 +32,7 @@
 
 /// The process beside an endpoint, with its desk and the tasks around it.
 pub(super) struct Slot {
-    desk: Mutex<Desk>,
+    scheduler: Mutex<AttemptScheduler>,
     backend: Backend,
     clock: Clock,
     settings: EndpointSettings,
@@ -71,7 +73,7 @@
     shutdown.requested().await;
     log::info!("draining");
     admin.set_ready(false);
-    slot.desk.lock().expect("no holder panics").drain();
+    slot.scheduler.lock().expect("no holder panics").drain();
     slot.wait_idle(Duration::from_millis(settings.process.drain_timeout_ms)).await;
     peers.shut_down().await;
     heartbeat.abort();
@@ -86,14 +88,14 @@
 
 impl Slot {
     fn new(me: EndpointRef, settings: EndpointSettings) -> Slot {
-        let limits = DeskLimits {
+        let limits = SchedulerLimits {
             concurrency: settings.concurrency as usize,
             queue: settings.queue as usize,
             cache_lease_ms: settings.cache_lease_ms,
             finished_bytes: FINISHED_BYTES,
         };
         Slot {
-            desk: Mutex::new(Desk::new(me, limits, OrderPolicy::FairThenAttained)),
+            scheduler: Mutex::new(AttemptScheduler::new(me, limits, OrderPolicy::FairThenAttained)),
             backend: Backend::open(Client::open(), settings.backend),
             clock: Clock::start(),
             settings,
@@ -103,20 +105,20 @@
     }
 
     fn status(&self) -> serde_json::Value {
-        let desk = self.desk();
+        let scheduler = self.scheduler();
         serde_json::json!({
             "role": "endpoint",
             "vm": self.settings.process.vm,
             "serves": self.settings.serves,
-            "running": desk.running(),
-            "queued": desk.queued(),
-            "cache_leases": desk.leases(),
-            "draining": desk.is_draining(),
+            "running": scheduler.running(),
+            "queued": scheduler.queued(),
+            "cache_leases": scheduler.leases(),
+            "draining": scheduler.is_draining(),
         })
     }
 
-    fn desk(&self) -> std::sync::MutexGuard<'_, Desk> {
-        self.desk.lock().expect("no holder panics")
+    fn scheduler(&self) -> std::sync::MutexGuard<'_, AttemptScheduler> {
+        self.scheduler.lock().expect("no holder panics")
     }
 
     /// Takes an attempt; its frames come through the channel.
@@ -135,14 +137,14 @@
         let submission = {
             // One hold of the desk for both: the attempt could otherwise be started by another
             // task in between, and its first words would find nobody to go to.
-            let mut desk = self.desk();
-            let submission = desk.submit(self.clock.now(), attempt);
-            if submission == Submission::Taken {
+            let mut scheduler = self.scheduler();
+            let submission = scheduler.submit(self.clock.now(), attempt);
+            if submission == Submission::Accepted {
                 self.listeners.lock().expect("no holder panics").insert(id, frames);
             }
             submission
         };
-        self.proceed();
+        self.schedule();
         (submission, receiver)
     }
 
@@ -150,15 +152,15 @@
     fn control(self: &Arc<Slot>, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Ask { attempt, instance, epoch } => {
-                ControlReply::Report(self.desk().ask(attempt, instance, epoch))
+                ControlReply::Report(self.scheduler().query(attempt, instance, epoch))
             }
             ControlRequest::Cancel { attempt } => {
-                let actions = self.desk().cancel(attempt);
+                let actions = self.scheduler().cancel(attempt);
                 self.carry_out(actions);
                 ControlReply::Done
             }
             ControlRequest::Free { program } => {
-                let actions = self.desk().free(&program);
+                let actions = self.scheduler().free(&program);
                 self.carry_out(actions);
                 ControlReply::Done
             }
@@ -166,18 +168,18 @@
         }
     }
 
-    fn proceed(self: &Arc<Slot>) {
-        let actions = self.desk().proceed(self.clock.now());
+    fn schedule(self: &Arc<Slot>) {
+        let actions = self.scheduler().schedule(self.clock.now());
         self.carry_out(actions);
     }
 
-    fn carry_out(self: &Arc<Slot>, actions: Vec<DeskAction>) {
+    fn carry_out(self: &Arc<Slot>, actions: Vec<SchedulerAction>) {
         for action in actions {
             match action {
-                DeskAction::Start(attempt) => drop(tokio::spawn(self.clone().run(attempt))),
-                DeskAction::Stop(id) => self.stop(id),
-                DeskAction::End(id, end) => self.tell(id, end),
-                DeskAction::FreeCache(key) => drop(tokio::spawn(self.clone().free_cache(key))),
+                SchedulerAction::Start(attempt) => drop(tokio::spawn(self.clone().run(attempt))),
+                SchedulerAction::Stop(id) => self.stop(id),
+                SchedulerAction::End(id, end) => self.tell(id, end),
+                SchedulerAction::FreeCache(key) => drop(tokio::spawn(self.clone().free_cache(key))),
             }
         }
     }
@@ -216,14 +218,16 @@
         if is_rejection(&end) {
             self.wait_for_same_call(id).await;
         }
-        let end = self.desk().ended(self.clock.now(), id, end);
+        let end = self.scheduler().record_end(self.clock.now(), id, end);
         self.tell(id, end);
-        self.proceed();
+        self.schedule();
     }
 
     async fn wait_for_same_call(&self, id: AttemptId) {
         let started = self.clock.now();
-        while self.desk().turned_away(id) && self.clock.now().since(started) < SAME_CALL_WAIT_MS {
+        while self.scheduler().turned_away(id)
+            && self.clock.now().since(started) < SAME_CALL_WAIT_MS
+        {
             tokio::time::sleep(SAME_CALL_POLL).await;
         }
     }
@@ -244,7 +248,7 @@
         if let Err(fault) = self.backend.free(&key).await {
             log::warn!(fault:?; "the engine did not free a conversation; trying again");
             // A lease of its own: it is tried again when that runs out.
-            self.desk().found_cached(self.clock.now(), &key);
+            self.scheduler().found_cached(self.clock.now(), &key);
         }
     }
 
@@ -256,7 +260,7 @@
         match self.backend.cached().await {
             Ok(keys) => {
                 let now = self.clock.now();
-                keys.iter().for_each(|key| self.desk().found_cached(now, key));
+                keys.iter().for_each(|key| self.scheduler().found_cached(now, key));
             }
             Err(fault) => log::warn!(fault:?; "the engine's cache could not be listed"),
         }
@@ -265,33 +269,33 @@
     async fn tick(self: Arc<Slot>) {
         loop {
             tokio::time::sleep(TICK).await;
-            self.proceed();
+            self.schedule();
         }
     }
 
     async fn beat(&self, mut pulse: Pulse) {
         loop {
-            let (state, duty) = {
-                let desk = self.desk();
-                let state = match desk.is_draining() {
+            let (state, role_status) = {
+                let scheduler = self.scheduler();
+                let state = match scheduler.is_draining() {
                     true => PeerState::Leaving,
                     false => PeerState::Live,
                 };
-                let duty = Duty::Endpoint {
+                let role_status = RoleStatus::Endpoint {
                     serves: self.settings.serves.clone(),
-                    running: desk.running() as u32,
-                    queued: desk.queued() as u32,
+                    running: scheduler.running() as u32,
+                    queued: scheduler.queued() as u32,
                     concurrency: self.settings.concurrency as u32,
                 };
-                (state, duty)
+                (state, role_status)
             };
-            pulse.beat(state, duty).await;
+            pulse.beat(state, role_status).await;
         }
     }
 
     async fn wait_idle(&self, timeout: Duration) {
         let idle = async {
-            while !self.desk().is_idle() {
+            while !self.scheduler().is_idle() {
                 tokio::time::sleep(TICK).await;
             }
         };
--- a/src/endpoint/desk.rs
+++ b/src/endpoint/scheduler.rs
@@ -1,6 +1,6 @@
 use std::collections::HashMap;
 
-use crate::endpoint::{CacheLeases, Finished, OrderPolicy, Recall, ServiceOrder, Waiting};
+use crate::endpoint::{CacheLeases, Finished, OrderPolicy, QueueOrder, Recall, SchedulingKey};
 use crate::prelude::*;
 use crate::programs::{Attempt, AttemptFrame, AttemptReport, AttemptWork, FailureCause};
 
@@ -14,7 +14,7 @@
 /// Bounds of a desk.
 #[value]
 #[derive(Copy)]
-pub struct DeskLimits {
+pub struct SchedulerLimits {
     /// Attempts that run at once.
     pub concurrency: usize,
     /// Attempts that wait at once.
@@ -30,7 +30,7 @@
 #[derive(Copy)]
 pub enum Submission {
     /// It waits or runs.
-    Taken,
+    Accepted,
     /// It did not start, and never will.
     Rejected,
     /// It had come before; its frames go to whoever submitted it first.
@@ -39,7 +39,7 @@
 
 /// What a desk wants done.
 #[value]
-pub enum DeskAction {
+pub enum SchedulerAction {
     /// Run an attempt on the endpoint.
     Start(Attempt),
     /// Stop a running attempt.
@@ -71,35 +71,35 @@
 struct Queued {
     attempt: Attempt,
     deadline: TimeMs,
-    waiting: Waiting,
+    waiting: SchedulingKey,
 }
 
 /// The state machine of the process beside an endpoint. It does no I/O.
-pub struct Desk {
+pub struct AttemptScheduler {
     me: EndpointRef,
-    limits: DeskLimits,
+    limits: SchedulerLimits,
     fences: HashMap<ShardId, Epoch>,
     queue: Vec<Queued>,
     running: HashMap<AttemptId, Running>,
     finished: Finished,
-    order: ServiceOrder,
+    order: QueueOrder,
     leases: CacheLeases,
     /// Calls that ran when the engine crashed.
     crashers: HashMap<(WorkspaceId, Digest), Crasher>,
     draining: bool,
 }
 
-impl Desk {
+impl AttemptScheduler {
     /// A desk for one run of the process.
-    pub fn new(me: EndpointRef, limits: DeskLimits, policy: OrderPolicy) -> Desk {
-        Desk {
+    pub fn new(me: EndpointRef, limits: SchedulerLimits, policy: OrderPolicy) -> AttemptScheduler {
+        AttemptScheduler {
             me,
             limits,
             fences: HashMap::new(),
             queue: Vec::new(),
             running: HashMap::new(),
             finished: Finished::new(limits.finished_bytes),
-            order: ServiceOrder::new(policy),
+            order: QueueOrder::new(policy),
             leases: CacheLeases::new(limits.cache_lease_ms),
             crashers: HashMap::new(),
             draining: false,
@@ -155,12 +155,12 @@
         let waiting = waiting(now, &attempt);
         let deadline = now.plus(attempt.deadline_in_ms);
         self.queue.push(Queued { attempt, deadline, waiting });
-        Submission::Taken
+        Submission::Accepted
     }
 
     /// Says what became of an attempt. The asker's epoch fences the owners before it; an attempt
     /// that was never seen is denied from now on, so that the answer stays true.
-    pub fn ask(&mut self, attempt: AttemptId, instance: Instance, epoch: Epoch) -> AttemptReport {
+    pub fn query(&mut self, attempt: AttemptId, instance: Instance, epoch: Epoch) -> AttemptReport {
         if instance != self.me.instance {
             return AttemptReport::Forgotten;
         }
@@ -180,7 +180,7 @@
     }
 
     /// Stops an attempt.
-    pub fn cancel(&mut self, attempt: AttemptId) -> Vec<DeskAction> {
+    pub fn cancel(&mut self, attempt: AttemptId) -> Vec<SchedulerAction> {
         if let Some(index) = self.queue.iter().position(|queued| queued.attempt.id == attempt) {
             self.queue.swap_remove(index);
             return vec![self.end_unstarted(attempt, FailureCause::Cancelled)];
@@ -188,7 +188,7 @@
         match self.running.get_mut(&attempt) {
             Some(running) if running.is_model && !running.stopped => {
                 running.stopped = true;
-                vec![DeskAction::Stop(attempt)]
+                vec![SchedulerAction::Stop(attempt)]
             }
             _ => Vec::new(),
         }
@@ -212,7 +212,12 @@
     }
 
     /// Takes note of the end of a running attempt; returns how it ended, by all that is known.
-    pub fn ended(&mut self, now: TimeMs, attempt: AttemptId, end: AttemptFrame) -> AttemptFrame {
+    pub fn record_end(
+        &mut self,
+        now: TimeMs,
+        attempt: AttemptId,
+        end: AttemptFrame,
+    ) -> AttemptFrame {
         let Some(running) = self.running.remove(&attempt) else {
             return end;
         };
@@ -255,14 +260,15 @@
     }
 
     /// Frees what the engine holds for a program that has ended.
-    pub fn free(&mut self, program: &ProgramId) -> Vec<DeskAction> {
+    pub fn free(&mut self, program: &ProgramId) -> Vec<SchedulerAction> {
         let of_program = |running: &Running| running.program == *program;
         let ids: Vec<AttemptId> =
             self.running.iter().filter(|(_, r)| of_program(r)).map(|(id, _)| *id).collect();
-        let mut actions: Vec<DeskAction> = ids.into_iter().flat_map(|id| self.cancel(id)).collect();
+        let mut actions: Vec<SchedulerAction> =
+            ids.into_iter().flat_map(|id| self.cancel(id)).collect();
         let key = cache_key(program);
         if self.leases.end(&key) {
-            actions.push(DeskAction::FreeCache(key));
+            actions.push(SchedulerAction::FreeCache(key));
         }
         actions
     }
@@ -278,10 +284,10 @@
     }
 
     /// Starts what may start, and ends what has run out of time.
-    pub fn proceed(&mut self, now: TimeMs) -> Vec<DeskAction> {
+    pub fn schedule(&mut self, now: TimeMs) -> Vec<SchedulerAction> {
         let mut actions = self.expire(now);
         while let Some(attempt) = self.next_to_start(now) {
-            actions.push(DeskAction::Start(attempt));
+            actions.push(SchedulerAction::Start(attempt));
         }
         actions
     }
@@ -291,24 +297,24 @@
         queued || self.running.contains_key(&attempt)
     }
 
-    fn expire(&mut self, now: TimeMs) -> Vec<DeskAction> {
+    fn expire(&mut self, now: TimeMs) -> Vec<SchedulerAction> {
         let late: Vec<AttemptId> =
             self.queue.iter().filter(|q| q.deadline <= now).map(|q| q.attempt.id).collect();
         self.queue.retain(|queued| queued.deadline > now);
-        let mut actions: Vec<DeskAction> =
+        let mut actions: Vec<SchedulerAction> =
             late.into_iter().map(|id| self.end_unstarted(id, FailureCause::Expired)).collect();
         actions.extend(self.end_crashers());
         for (id, running) in &mut self.running {
             if running.deadline <= now && !running.stopped {
                 running.stopped = true;
-                actions.push(DeskAction::Stop(*id));
+                actions.push(SchedulerAction::Stop(*id));
             }
         }
         let in_use = |key: &Arc<str>| self.running.values().any(|r| cache_key(&r.program) == *key);
         for key in self.leases.expired(now) {
             match in_use(&key) {
                 true => self.leases.renew(now, &key),
-                false => actions.push(DeskAction::FreeCache(key)),
+                false => actions.push(SchedulerAction::FreeCache(key)),
             }
         }
         actions
@@ -316,7 +322,7 @@
 
     /// Ends waiting calls that are known to crash the engine, as if they had done it again. One
     /// that is only suspected may still run alone.
-    fn end_crashers(&mut self) -> Vec<DeskAction> {
+    fn end_crashers(&mut self) -> Vec<SchedulerAction> {
         let crash_of = |queued: &Queued| {
             let attempt = &queued.attempt;
             let key = (attempt.program.workspace.clone(), attempt.digest);
@@ -331,10 +337,10 @@
             .collect()
     }
 
-    fn end_unstarted(&mut self, attempt: AttemptId, cause: FailureCause) -> DeskAction {
+    fn end_unstarted(&mut self, attempt: AttemptId, cause: FailureCause) -> SchedulerAction {
         let end = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
         self.finished.remember(attempt, end.clone());
-        DeskAction::End(attempt, end)
+        SchedulerAction::End(attempt, end)
     }
 
     /// An attempt suspected of crashing the engine starts on an empty one, and nothing starts
@@ -345,7 +351,7 @@
         if alone_runs || self.running.len() >= self.limits.concurrency {
             return None;
         }
-        let waiting: Vec<Waiting> = self.queue.iter().map(|q| q.waiting.clone()).collect();
+        let waiting: Vec<SchedulingKey> = self.queue.iter().map(|q| q.waiting.clone()).collect();
         let index = self.order.next(now, &waiting)?;
         if self.queue[index].attempt.alone && !self.running.is_empty() {
             return None;
@@ -376,15 +382,15 @@
     program.to_string().into()
 }
 
-fn waiting(now: TimeMs, attempt: &Attempt) -> Waiting {
+fn waiting(now: TimeMs, attempt: &Attempt) -> SchedulingKey {
     let cost_tokens = match &attempt.work {
         AttemptWork::Model { messages, max_tokens, .. } => {
-            let bytes: u64 = messages.iter().map(|message| message.bytes() as u64).sum();
+            let bytes: u64 = messages.iter().map(|message| message.approx_bytes() as u64).sum();
             bytes / BYTES_PER_TOKEN / 4 + u64::from(*max_tokens)
         }
         AttemptWork::Service { .. } => SERVICE_COST_TOKENS,
     };
-    Waiting {
+    SchedulingKey {
         workspace: attempt.program.workspace.clone(),
         since: now,
         attained_tokens: attempt.attained_tokens,
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -14,12 +14,12 @@
 const MAX_ATTEMPT_BYTES: usize = 64 << 20;
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Where attempts are submitted.
-pub const ATTEMPTS: &str = "/attempts";
+pub const ATTEMPTS_PATH: &str = "/attempts";
 
 /// Answers a call of another process of the system.
 pub(super) async fn handle(slot: Arc<Slot>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::POST, ATTEMPTS) => submit(slot, request).await,
+        (&Method::POST, ATTEMPTS_PATH) => submit(slot, request).await,
         _ => json(StatusCode::NOT_FOUND, &"no such call"),
     }
 }
@@ -32,7 +32,7 @@
     };
     let (submission, frames) = slot.submit(attempt);
     match submission {
-        Submission::Taken => {
+        Submission::Accepted => {
             let frames = UnboundedReceiverStream::new(frames);
             Response::new(streamed(frames.map(|frame| Ok(lines(&frame)))))
         }
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -15,7 +15,7 @@
 use crate::entry::state::Entry;
 use crate::http::{Body, json, streamed, whole};
 use crate::prelude::*;
-use crate::programs::{Ran, Reply, TurnRequest, TurnResult};
+use crate::programs::{ExecutionStatus, Reply, TurnRequest, TurnResult};
 
 const PROGRAM: HeaderName = HeaderName::from_static("x-trefoil-program");
 const TURN: HeaderName = HeaderName::from_static("x-trefoil-turn");
@@ -217,11 +217,19 @@
     if book.wait_for(|book| !held(book)).await.is_err() {
         std::future::pending::<()>().await;
     }
-    ApiError { code: ApiErrorCode::KeyWithdrawn, ran: Ran::Unknown, retry_after_ms: None }
+    ApiError {
+        code: ApiErrorCode::KeyWithdrawn,
+        ran: ExecutionStatus::Unknown,
+        retry_after_ms: None,
+    }
 }
 
 fn outcome_unknown() -> ApiError {
-    ApiError { code: ApiErrorCode::OutcomeUnknown, ran: Ran::Unknown, retry_after_ms: None }
+    ApiError {
+        code: ApiErrorCode::OutcomeUnknown,
+        ran: ExecutionStatus::Unknown,
+        retry_after_ms: None,
+    }
 }
 
 /// The error that cuts a connection. It waits until the connection had time to send what came
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -7,7 +7,9 @@
 
 use crate::http::{Body, BodyFault, json as json_response};
 use crate::prelude::*;
-use crate::programs::{Finish, Message, Ran, Refusal, RefusalReason, Usage, Work};
+use crate::programs::{
+    ExecutionStatus, FinishReason, Message, Refusal, RefusalReason, Usage, Work,
+};
 
 /// Tokens of a call that names no limit.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
@@ -137,7 +139,7 @@
     /// What went wrong.
     pub code: ApiErrorCode,
     /// Whether the call ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// When a repeat can succeed; `None` if it can't.
     pub retry_after_ms: Option<u64>,
 }
@@ -145,7 +147,7 @@
 impl ApiError {
     /// An error of a call that did not run and is not worth repeating as it is.
     pub fn not_run(code: ApiErrorCode) -> ApiError {
-        ApiError { code, ran: Ran::NotRun, retry_after_ms: None }
+        ApiError { code, ran: ExecutionStatus::NotRun, retry_after_ms: None }
     }
 
     /// The error as JSON.
@@ -183,9 +185,9 @@
 impl fmt::Display for ApiError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ran = match self.ran {
-            Ran::NotRun => "the call was not run",
-            Ran::Ran => "the call was run",
-            Ran::Unknown => "whether the call ran is not known",
+            ExecutionStatus::NotRun => "the call was not run",
+            ExecutionStatus::Ran => "the call was run",
+            ExecutionStatus::Unknown => "whether the call ran is not known",
         };
         write!(f, "{}: {ran}", self.code.text().replace('_', " "))
     }
@@ -229,10 +231,10 @@
     })
 }
 
-fn finish_json(finish: Finish) -> Value {
+fn finish_json(finish: FinishReason) -> Value {
     match finish {
-        Finish::Stop => "stop".into(),
-        Finish::Length => "length".into(),
+        FinishReason::Stop => "stop".into(),
+        FinishReason::Length => "length".into(),
     }
 }
 
@@ -241,7 +243,7 @@
     program: &ProgramId,
     turn: TurnNo,
     model: &'a str,
-    (text, finish, usage): (&str, Finish, Usage),
+    (text, finish, usage): (&str, FinishReason, Usage),
 ) -> Completion<'a> {
     Completion {
         id: format!("{}-{turn}", program.name),
@@ -271,7 +273,7 @@
     program: &ProgramId,
     turn: TurnNo,
     model: &str,
-    finish: Finish,
+    finish: FinishReason,
     usage: Usage,
 ) -> Value {
     json!({
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -15,7 +15,7 @@
 use crate::entry::state::Entry;
 use crate::http::{Body, json, read_body};
 use crate::prelude::*;
-use crate::programs::{Ran, RefusalReason, Reply, TurnRequest, Work};
+use crate::programs::{ExecutionStatus, RefusalReason, Reply, TurnRequest, Work};
 
 /// Names the program; without it the call is a program of its own.
 const PROGRAM: HeaderName = HeaderName::from_static("x-trefoil-program");
@@ -131,7 +131,7 @@
         Some(_) => Ok(json(StatusCode::OK, &serde_json::json!({ "ended": name }))),
         None => Err(ApiError {
             code: ApiErrorCode::NotReady,
-            ran: Ran::Unknown,
+            ran: ExecutionStatus::Unknown,
             retry_after_ms: Some(NOT_READY_RETRY_MS),
         }),
     }
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -5,7 +5,7 @@
 use crate::entry::peers::CONFIG;
 use crate::entry::state::Entry;
 use crate::logstore::Page;
-use crate::membership::Duty;
+use crate::membership::RoleStatus;
 use crate::prelude::*;
 
 /// The stream that operators publish to.
@@ -142,14 +142,14 @@
         let peers = self.peers();
         let standstill = self.standstill();
         let entries = peers.live_entries().filter_map(|peer| {
-            let said_ago_ms = standstill.age_ms(now, peer.heard)?;
-            match &peer.heartbeat.duty {
-                Duty::Entry { config, log_age_ms, .. } => Some(PeerConfig {
+            let said_ago_ms = standstill.age_ms(now, peer.heard_at)?;
+            match &peer.heartbeat.role_status {
+                RoleStatus::Entry { config, log_age_ms, .. } => Some(PeerConfig {
                     config: *config,
                     age_ms: log_age_ms.map(|age_ms| age_ms + said_ago_ms),
                     address: peer.heartbeat.address,
                 }),
-                Duty::Endpoint { .. } => None,
+                RoleStatus::Endpoint { .. } => None,
             }
         });
         let entries: Vec<PeerConfig> = entries.collect();
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -9,7 +9,7 @@
 use crate::entry::tasks;
 use crate::prelude::*;
 use crate::programs::{
-    Action, CallId, Event, Limits, Refusal, RefusalReason, Reply, ShardOwner, TurnRequest,
+    Action, CallId, Event, OwnerLimits, Refusal, RefusalReason, Reply, ShardOwner, TurnRequest,
 };
 
 /// Time between two ticks of the owners.
@@ -46,20 +46,20 @@
     owners: HashMap<ShardId, Owned>,
     calls: HashMap<CallId, mpsc::UnboundedSender<Reply>>,
     next_call: u64,
-    limits: Limits,
+    limits: OwnerLimits,
     rebalanced: TimeMs,
 }
 
 impl Core {
     pub fn new(entry: Arc<Entry>) -> Core {
         let settings = &entry.settings;
-        let limits = Limits {
+        let limits = OwnerLimits {
             // Half the retention leaves the other half for a log that is out or slow.
             snapshot_age_ms: settings.log_retention_ms / 2,
             program_idle_ms: settings.program_idle_ms,
             tombstone_ms: settings.log_retention_ms,
             waits_for_log: settings.waits_for_log,
-            ..Limits::default()
+            ..OwnerLimits::default()
         };
         Core {
             entry,
@@ -96,7 +96,7 @@
             }
             Command::Confirm { shard } => {
                 if self.take_shard(shard) {
-                    self.handle(shard, Event::Confirm);
+                    self.handle(shard, Event::ConfirmOwnership);
                 }
             }
             Command::HandOver => self.hand_over(),
@@ -179,16 +179,16 @@
         let Some(owned) = self.owners.get(&shard) else {
             return;
         };
-        let tenure = owned.owner.tenure();
-        if tenure.is_lost() {
+        let ownership = owned.owner.ownership();
+        if ownership.is_lost() {
             log::info!(shard = shard.0; "lost a shard");
             self.owners.remove(&shard);
             self.entry.owned().remove(&shard);
             self.entry.lenders().close(shard);
             return;
         }
-        let confirmed = owned.owner.confirmed();
-        if let Some((epoch, confirmed)) = tenure.epoch().zip(confirmed) {
+        let confirmed = owned.owner.confirmed_at();
+        if let Some((epoch, confirmed)) = ownership.epoch().zip(confirmed) {
             let before = self.entry.owned().insert(shard, Ownership { epoch, confirmed });
             if before.is_none() {
                 log::info!(shard = shard.0, epoch = epoch.0; "owning a shard");
@@ -196,7 +196,7 @@
                 self.entry.lenders().open(now, shard, owned.owner.predecessor());
             }
         }
-        if tenure.is_leaving() {
+        if ownership.is_releasing() {
             self.entry.lenders().close(shard);
         }
     }
@@ -208,14 +208,14 @@
             Action::Wake { in_ms } => drop(tokio::spawn(tasks::wake(back, in_ms))),
             Action::Read(from) => drop(tokio::spawn(tasks::read(back, from))),
             Action::Dispatch(attempt) => drop(tokio::spawn(tasks::dispatch(back, attempt))),
-            Action::Ask { attempt, endpoint, epoch } => {
+            Action::QueryAttempt { attempt, endpoint, epoch } => {
                 tokio::spawn(tasks::ask(back, attempt, endpoint, epoch));
             }
             Action::Cancel { attempt, endpoint } => {
                 tokio::spawn(tasks::cancel(back, attempt, endpoint));
             }
-            Action::Free { program } => {
-                if let Some(endpoint) = self.entry.router().forget(&program) {
+            Action::FreeCache { program } => {
+                if let Some(endpoint) = self.entry.router().remove_program(&program) {
                     tokio::spawn(tasks::free(back, program, endpoint));
                 }
             }
@@ -265,12 +265,12 @@
             return;
         }
         let is_idle = |owned: &Owned| {
-            owned.owner.tenure().is_owning() && owned.owner.active().next().is_none()
+            owned.owner.ownership().is_owning() && owned.owner.active_turns().next().is_none()
         };
         let idle = self.owners.iter().filter(|(_, owned)| is_idle(owned)).map(|(shard, _)| *shard);
         let elsewhere = idle.into_iter().find(|shard| self.entry.preferred(*shard) != Place::Here);
         if let Some(shard) = elsewhere {
-            self.handle(shard, Event::HandOver);
+            self.handle(shard, Event::Release);
         }
     }
 
@@ -288,6 +288,6 @@
 
     fn hand_over(&mut self) {
         let shards: Vec<ShardId> = self.owners.keys().copied().collect();
-        shards.into_iter().for_each(|shard| self.handle(shard, Event::HandOver));
+        shards.into_iter().for_each(|shard| self.handle(shard, Event::Release));
     }
 }
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -14,7 +14,7 @@
 use crate::entry::wire::TurnMessage;
 use crate::http::{CallError, LineReader};
 use crate::prelude::*;
-use crate::programs::{Ran, Refusal, RefusalReason, Reply, TurnRequest};
+use crate::programs::{ExecutionStatus, Refusal, RefusalReason, Reply, TurnRequest};
 
 /// Where entries take turns for their shards.
 pub(super) const TURNS: &str = "/turns";
@@ -159,8 +159,8 @@
     fn pass_on(&mut self, reply: Reply) -> Option<Relay> {
         if let Reply::Refused(Refusal { reason: RefusalReason::NotOwner, ran, .. }) = &reply {
             return Some(match ran {
-                Ran::NotRun => Relay::NotThere,
-                Ran::Ran | Ran::Unknown => Relay::Cut,
+                ExecutionStatus::NotRun => Relay::NotThere,
+                ExecutionStatus::Ran | ExecutionStatus::Unknown => Relay::Cut,
             });
         }
         let is_final = reply.is_final();
@@ -195,7 +195,7 @@
             Ok(_) => Relay::NotThere,
             Err(CallError::NotSent) => {
                 // Nothing listens there: that run is gone, however fresh its last heartbeat.
-                self.entry.peers().refused(vm);
+                self.entry.peers().mark_dead(vm);
                 Relay::NotThere
             }
             Err(_) => Relay::Cut,
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -14,7 +14,7 @@
 use crate::entry::state::Entry;
 use crate::entry::wire::TurnMessage;
 use crate::http::{Body, json, lines, read_body, streamed};
-use crate::membership::{Duty, Heartbeat, PeerState};
+use crate::membership::{Heartbeat, PeerState, RoleStatus};
 use crate::prelude::*;
 use crate::programs::Reply;
 
@@ -82,7 +82,7 @@
             continue;
         };
         let vm = heartbeat.vm.clone();
-        let is_new = entry.peers().heard(entry.clock.now(), heartbeat);
+        let is_new = entry.peers().record_heartbeat(entry.clock.now(), heartbeat);
         if is_new {
             log::info!(vm = vm.as_str(); "heard a new process");
         }
@@ -103,7 +103,7 @@
     loop {
         pulse.next().await;
         if let Some(list) = pulse.refresh_list().await {
-            entry.peers().listed(list);
+            entry.peers().set_vm_list(list);
         }
         let targets = {
             let mut peers = entry.peers();
@@ -114,11 +114,11 @@
             true => PeerState::Leaving,
             false => PeerState::Live,
         };
-        let duty = Duty::Entry {
+        let role_status = RoleStatus::Entry {
             config: entry.current_book().through(),
             log_age_ms: entry.config_age_ms(),
             owned: entry.owned().iter().map(|(shard, owned)| (*shard, owned.epoch)).collect(),
         };
-        pulse.send(state, duty, &targets).await;
+        pulse.send(state, role_status, &targets).await;
     }
 }
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -10,7 +10,7 @@
 use crate::entry::{callers, config, peers};
 use crate::http::{ServerLimits, Serving, serve};
 use crate::link::{ControlReply, ControlRequest, LinkServer};
-use crate::membership::Timings;
+use crate::membership::LivenessTimeouts;
 use crate::prelude::*;
 use crate::settings::EntrySettings;
 use crate::telemetry::Metrics;
@@ -89,7 +89,7 @@
 /// Waits until the configuration is known, and every listed entry was heard or has had the time
 /// to be. Until then this entry can't tell which shards are owned, and must claim none.
 async fn wait_ready(entry: &Entry) {
-    let timings = Timings::for_heartbeat(entry.settings.process.heartbeat_ms);
+    let timings = LivenessTimeouts::for_heartbeat(entry.settings.process.heartbeat_ms);
     loop {
         let heard = {
             let peers = entry.peers();
--- a/src/entry/rates.rs
+++ b/src/entry/rates.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::admission::{Admission, BorrowRequest, Lender, LendingTimes, Loan};
+use crate::admission::{AdmissionDecision, BorrowRequest, Lender, LendingTimes, Loan};
 use crate::contracts::Contract;
 use crate::entry::core::Command;
 use crate::entry::peers::STATUS;
@@ -79,18 +79,20 @@
             let now = self.clock.now();
             let admission = self.borrower().admit(now, workspace);
             match admission {
-                Admission::Admitted => {
+                AdmissionDecision::Admitted => {
                     self.borrow_early(workspace);
                     return Ok(());
                 }
-                Admission::Refused { wait_ms } => return Err(RateRefusal::UsedUp { wait_ms }),
+                AdmissionDecision::Refused { wait_ms } => {
+                    return Err(RateRefusal::UsedUp { wait_ms });
+                }
                 // A lender that can't ask the log may have been replaced, and must not lend.
-                Admission::Ask if self.is_log_failing() && !waits_for_log => {
+                AdmissionDecision::NeedsLoan if self.is_log_failing() && !waits_for_log => {
                     return Err(RateRefusal::LogUnavailable);
                 }
-                Admission::Ask => {}
+                AdmissionDecision::NeedsLoan => {}
             }
-            let question = self.borrower().ask(now, workspace, 1);
+            let question = self.borrower().next_request(now, workspace, 1);
             match question {
                 Some(question) => self.borrow(question).await,
                 None => tokio::time::sleep(POLL).await,
@@ -104,10 +106,10 @@
     /// Asks for more before the share is used up, so that no call has to wait for it.
     fn borrow_early(self: &Arc<Entry>, workspace: &WorkspaceId) {
         let mut borrower = self.borrower();
-        if !borrower.is_low(workspace) {
+        if !borrower.should_prefetch(workspace) {
             return;
         }
-        if let Some(question) = borrower.ask(self.clock.now(), workspace, 0) {
+        if let Some(question) = borrower.next_request(self.clock.now(), workspace, 0) {
             let entry = self.clone();
             tokio::spawn(async move { entry.borrow(question).await });
         }
@@ -123,18 +125,18 @@
         };
         match reply {
             ControlReply::Lent(loan) if loan.for_ms > 0 => {
-                self.borrower().lent(self.clock.now(), &question, loan);
+                self.borrower().record_loan(self.clock.now(), &question, loan);
             }
             // No lender yet: the calls that wait ask again.
             _ => {
                 tokio::time::sleep(POLL).await;
-                self.borrower().unanswered(&question);
+                self.borrower().record_failed_request(&question);
             }
         }
     }
 
     async fn borrow_there(&self, vm: &VmName, request: ControlRequest) -> ControlReply {
-        let peer = self.peers().on(vm).map(|p| (p.heartbeat.control, p.heartbeat.address));
+        let peer = self.peers().peer_on(vm).map(|p| (p.heartbeat.control, p.heartbeat.address));
         let Some((control, address)) = peer else {
             return ControlReply::NotMine;
         };
@@ -152,7 +154,7 @@
     async fn probe(&self, vm: &VmName, address: SocketAddr) {
         let answer = self.http.get::<serde_json::Value>(address, STATUS, ASK_TIMEOUT).await;
         if answer == Err(CallError::NotSent) {
-            self.peers().refused(vm);
+            self.peers().mark_dead(vm);
         }
     }
 
@@ -185,11 +187,11 @@
         let now = self.clock.now();
         let confirmed = self.owned().get(&shard)?.confirmed;
         let mut lenders = self.lenders();
-        let authority_ms = lenders.times.authority_ms;
-        if now.since(confirmed) >= authority_ms / 2 {
+        let confirmation_valid_ms = lenders.times.confirmation_valid_ms;
+        if now.since(confirmed) >= confirmation_valid_ms / 2 {
             let _ = self.commands.send(Command::Confirm { shard });
         }
-        if now.since(confirmed) >= authority_ms {
+        if now.since(confirmed) >= confirmation_valid_ms {
             return None;
         }
         let limits = (u64::from(contract.rate_per_s), u64::from(contract.burst));
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::{mpsc, watch};
 
-use crate::admission::{Borrower, STOCK_FROM_CALLS};
+use crate::admission::{Borrower, MIN_CALLS_TO_PREFETCH};
 use crate::contracts::Book;
 use crate::entry::config::Confirmation;
 use crate::entry::core::Command;
@@ -15,9 +15,9 @@
 use crate::http::Client;
 use crate::link::LinkPool;
 use crate::logstore::{LogClient, Pacer};
-use crate::membership::{Peer, PeerTable, Timings};
+use crate::membership::{LivenessTimeouts, Peer, PeerTable};
 use crate::prelude::*;
-use crate::programs::Standing;
+use crate::programs::CrashStatus;
 use crate::routing::{RetryBudget, Router, RoutingPolicy};
 use crate::settings::EntrySettings;
 use crate::time::Clock;
@@ -89,7 +89,7 @@
         let http = Client::open();
         let log_timeout = Duration::from_millis(settings.log_timeout_ms);
         let log = LogClient::open(http.clone(), settings.log, log_timeout);
-        let timings = Timings::for_heartbeat(settings.process.heartbeat_ms);
+        let timings = LivenessTimeouts::for_heartbeat(settings.process.heartbeat_ms);
         let instance = Instance::random();
         Entry {
             instance,
@@ -107,7 +107,7 @@
             pacer: Mutex::new(Pacer::new(settings.appends_per_s)),
             owned: Mutex::default(),
             suspects: Mutex::default(),
-            borrower: Mutex::new(Borrower::new(instance, STOCK_FROM_CALLS)),
+            borrower: Mutex::new(Borrower::new(instance, MIN_CALLS_TO_PREFETCH)),
             lenders: Mutex::default(),
             ready: AtomicBool::new(false),
             log_failing: AtomicBool::new(false),
@@ -211,10 +211,10 @@
     }
 
     /// What is known of a call that may crash engines, by the log and by this entry.
-    pub fn standing(&self, workspace: &WorkspaceId, digest: &Digest) -> Standing {
+    pub fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus {
         let own = locked(&self.suspects);
         let crashes = own.get(&(workspace.clone(), *digest)).map_or(&[][..], Vec::as_slice);
-        self.book.borrow().standing(workspace, digest, crashes)
+        self.book.borrow().crash_status(workspace, digest, crashes)
     }
 
     /// Counts a crash that has to be recorded.
@@ -256,7 +256,7 @@
             return false;
         }
         let peers = self.peers();
-        let alive = peers.on(vm).is_some_and(|peer| !peer.is_dead());
+        let alive = peers.peer_on(vm).is_some_and(|peer| !peer.is_dead());
         let replaced = peers.owner_of(shard).is_some_and(|(owner, _)| owner.heartbeat.vm != *vm);
         alive && !replaced
     }
--- a/src/entry/surroundings.rs
+++ b/src/entry/surroundings.rs
@@ -2,48 +2,48 @@
 use crate::entry::core::Command;
 use crate::entry::state::Entry;
 use crate::prelude::*;
-use crate::programs::{PlaceRefusal, PlaceRequest, Standing, Surroundings};
+use crate::programs::{CrashStatus, OwnerEnvironment, PlaceRefusal, PlaceRequest};
 use crate::routing::EndpointView;
 
 /// An entry as the owners of its shards see it.
 pub(super) struct EntrySurroundings<'a>(pub &'a Entry);
 
-impl Surroundings for EntrySurroundings<'_> {
+impl OwnerEnvironment for EntrySurroundings<'_> {
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal> {
         let domain = self.0.settings.process.failure_domain.clone();
         let peers = self.0.peers();
         let live = peers.live_endpoints(request.target);
         let mut views: Vec<EndpointView> =
-            live.filter_map(|peer| EndpointView::of_peer(peer, &domain)).collect();
+            live.filter_map(|peer| EndpointView::from_peer(peer, &domain)).collect();
         if request.is_suspect {
             self.leave_out_crashed(request, &mut views);
         }
         self.0.router().place(self.0.clock.now(), request, &views)
     }
 
-    fn standing(&self, workspace: &WorkspaceId, digest: &Digest) -> Standing {
-        self.0.standing(workspace, digest)
+    fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus {
+        self.0.crash_status(workspace, digest)
     }
 
-    fn crashed(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
+    fn record_crash(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
         self.0.note_crash(workspace, digest, crash.clone());
         self.0.owe_crash_record();
         let record = ConfigRecord::Suspect { workspace: workspace.clone(), digest: *digest, crash };
         let _ = self.0.commands.send(Command::Publish(record));
     }
 
-    fn cleared(&mut self, workspace: &WorkspaceId, digest: &Digest) {
+    fn clear_suspect(&mut self, workspace: &WorkspaceId, digest: &Digest) {
         self.0.forget_crashes(workspace, digest);
         let record = ConfigRecord::Cleared { workspace: workspace.clone(), digest: *digest };
         let _ = self.0.commands.send(Command::Publish(record));
     }
 
-    fn succeeded(&mut self, workspace: &WorkspaceId) {
-        self.0.retries().succeeded(workspace);
+    fn record_success(&mut self, workspace: &WorkspaceId) {
+        self.0.retries().record_success(workspace);
     }
 
-    fn take_retry(&mut self, workspace: &WorkspaceId) -> bool {
-        self.0.retries().take(workspace)
+    fn try_acquire_retry(&mut self, workspace: &WorkspaceId) -> bool {
+        self.0.retries().try_acquire(workspace)
     }
 
     fn reserve_append(&mut self) -> u64 {
--- a/src/entry/tasks.rs
+++ b/src/entry/tasks.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use crate::contracts::ConfigRecord;
-use crate::endpoint::ATTEMPTS;
+use crate::endpoint::ATTEMPTS_PATH;
 use crate::entry::config::CONFIG_STREAM;
 use crate::entry::core::Command;
 use crate::entry::state::Entry;
@@ -88,7 +88,7 @@
     );
     let address = {
         let peers = back.entry.peers();
-        let peer = peers.on(&attempt.target.vm);
+        let peer = peers.peer_on(&attempt.target.vm);
         let same_run = peer.filter(|p| p.heartbeat.instance == attempt.target.instance);
         same_run.map(|peer| peer.heartbeat.address)
     };
@@ -98,16 +98,16 @@
         return;
     };
     let body = serde_json::to_vec(&attempt).unwrap_or_default();
-    let started = back.entry.http.start(Method::POST, address, ATTEMPTS, body.into()).await;
+    let started = back.entry.http.start(Method::POST, address, ATTEMPTS_PATH, body.into()).await;
     match started {
         Ok(response) if response.status().is_success() => {
             if !follow(&back, id, response.into_body()).await {
-                back.tell(Event::Lost { attempt: id });
+                back.tell(Event::ConnectionLost { attempt: id });
             }
         }
         // Nobody listened there: it certainly did not start.
         Err(CallError::NotSent) => back.tell(Event::Frame { attempt: id, frame: rejected }),
-        Ok(_) | Err(_) => back.tell(Event::Lost { attempt: id }),
+        Ok(_) | Err(_) => back.tell(Event::ConnectionLost { attempt: id }),
     }
 }
 
@@ -131,7 +131,7 @@
 pub(super) async fn ask(back: Back, attempt: AttemptId, endpoint: EndpointRef, epoch: Epoch) {
     let known = {
         let peers = back.entry.peers();
-        peers.on(&endpoint.vm).map(|peer| (peer.heartbeat.instance, peer.heartbeat.control))
+        peers.peer_on(&endpoint.vm).map(|peer| (peer.heartbeat.instance, peer.heartbeat.control))
     };
     let report = match known {
         // A VM runs one process at a time: the run that was asked for is gone.
@@ -160,7 +160,7 @@
 }
 
 async fn order(back: &Back, endpoint: &EndpointRef, request: ControlRequest) {
-    let control = back.entry.peers().on(&endpoint.vm).map(|peer| peer.heartbeat.control);
+    let control = back.entry.peers().peer_on(&endpoint.vm).map(|peer| peer.heartbeat.control);
     if let Some(control) = control {
         let _ = back.entry.links.ask(control, request, ASK_TIMEOUT).await;
     }
--- a/src/logstore/client.rs
+++ b/src/logstore/client.rs
@@ -7,7 +7,7 @@
 
 use crate::http::{CallError, Client};
 use crate::prelude::*;
-use crate::programs::{AppendError, AppendedAt, StoredRecord};
+use crate::programs::{AppendedAt, LogCallError, StoredRecord};
 
 const PAGE_RECORDS: usize = 1_000;
 
@@ -24,12 +24,12 @@
 #[derive(Copy)]
 pub struct LogFault(pub CallError);
 
-impl From<LogFault> for AppendError {
-    fn from(fault: LogFault) -> AppendError {
+impl From<LogFault> for LogCallError {
+    fn from(fault: LogFault) -> LogCallError {
         match fault.0 {
-            CallError::NotSent | CallError::Status(_) => AppendError::Unavailable,
+            CallError::NotSent | CallError::Status(_) => LogCallError::Unavailable,
             CallError::NoAnswer | CallError::TimedOut | CallError::BadAnswer => {
-                AppendError::NoAnswer
+                LogCallError::NoAnswer
             }
         }
     }
--- a/src/membership/heartbeat.rs
+++ b/src/membership/heartbeat.rs
@@ -24,7 +24,7 @@
 
 /// What a process tells of its duty.
 #[wire]
-pub enum Duty {
+pub enum RoleStatus {
     /// An entry's.
     Entry {
         /// The last configuration record that it has applied.
@@ -67,7 +67,7 @@
     /// Whether it takes new work.
     pub state: PeerState,
     /// What it does.
-    pub duty: Duty,
+    pub role_status: RoleStatus,
 }
 
 impl Heartbeat {
@@ -83,9 +83,9 @@
 
     /// What the sender is.
     pub fn role(&self) -> Role {
-        match self.duty {
-            Duty::Entry { .. } => Role::Entry,
-            Duty::Endpoint { .. } => Role::Endpoint,
+        match self.role_status {
+            RoleStatus::Entry { .. } => Role::Entry,
+            RoleStatus::Endpoint { .. } => Role::Endpoint,
         }
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -5,9 +5,9 @@
 mod table;
 mod vm_list;
 
-pub use heartbeat::{Duty, Heartbeat, PeerState, Role};
+pub use heartbeat::{Heartbeat, PeerState, Role, RoleStatus};
 pub use life::{Life, LifeEvent};
-pub use table::{Peer, PeerKey, PeerTable, Timings};
+pub use table::{LivenessTimeouts, Peer, PeerKey, PeerTable};
 pub use vm_list::{ListedVm, VmList};
 
 #[cfg(test)]
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -3,7 +3,7 @@
 
 use slotmap::SlotMap;
 
-use crate::membership::{Duty, Heartbeat, Life, LifeEvent, PeerState, Role, VmList};
+use crate::membership::{Heartbeat, Life, LifeEvent, PeerState, Role, RoleStatus, VmList};
 use crate::prelude::*;
 
 slotmap::new_key_type! {
@@ -14,7 +14,7 @@
 /// When silence becomes suspicion, death and oblivion.
 #[value]
 #[derive(Copy)]
-pub struct Timings {
+pub struct LivenessTimeouts {
     /// Silence that makes a peer suspect.
     pub suspect_ms: u64,
     /// Silence that makes it dead.
@@ -23,10 +23,10 @@
     pub forget_ms: u64,
 }
 
-impl Timings {
+impl LivenessTimeouts {
     /// Three missed heartbeats raise suspicion, eight mean death.
-    pub fn for_heartbeat(heartbeat_ms: u64) -> Timings {
-        Timings {
+    pub fn for_heartbeat(heartbeat_ms: u64) -> LivenessTimeouts {
+        LivenessTimeouts {
             suspect_ms: heartbeat_ms * 3 + heartbeat_ms / 2,
             dead_ms: heartbeat_ms * 8,
             forget_ms: heartbeat_ms * 400,
@@ -39,9 +39,9 @@
     /// The newest heartbeat.
     pub heartbeat: Heartbeat,
     /// When it came.
-    pub heard: TimeMs,
+    pub heard_at: TimeMs,
     /// Stands for the VM where peers are ranked.
-    pub seed: u64,
+    pub vm_hash: u64,
     life: Life,
     listed_leaving: bool,
 }
@@ -65,7 +65,7 @@
 
 /// The other processes, as this one sees them.
 pub struct PeerTable {
-    timings: Timings,
+    timings: LivenessTimeouts,
     peers: SlotMap<PeerKey, Peer>,
     by_vm: HashMap<VmName, PeerKey>,
     listed: VmList,
@@ -73,7 +73,7 @@
 
 impl PeerTable {
     /// An empty table.
-    pub fn new(timings: Timings) -> PeerTable {
+    pub fn new(timings: LivenessTimeouts) -> PeerTable {
         PeerTable {
             timings,
             peers: SlotMap::with_key(),
@@ -83,7 +83,7 @@
     }
 
     /// Takes a heartbeat. Returns whether it came from a run that was not known.
-    pub fn heard(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
+    pub fn record_heartbeat(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
         let known = self.by_vm.get(&heartbeat.vm).and_then(|key| self.peers.get_mut(*key));
         let event = match heartbeat.state {
             PeerState::Live => LifeEvent::HeardLive,
@@ -93,7 +93,7 @@
             Some(peer) if peer.heartbeat.instance == heartbeat.instance => {
                 if peer.heartbeat.sequence < heartbeat.sequence {
                     peer.heartbeat = heartbeat;
-                    peer.heard = now;
+                    peer.heard_at = now;
                     peer.life.handle(event);
                 }
                 false
@@ -114,15 +114,15 @@
         let vm = heartbeat.vm.clone();
         let mut life = Life::new();
         life.handle(event);
-        let seed = Digest::of(&[vm.as_str().as_bytes()]).prefix();
-        let peer = Peer { heartbeat, heard: now, seed, life, listed_leaving: false };
+        let vm_hash = Digest::of(&[vm.as_str().as_bytes()]).prefix();
+        let peer = Peer { heartbeat, heard_at: now, vm_hash, life, listed_leaving: false };
         let key = self.peers.insert(peer);
         self.by_vm.insert(vm, key);
         self.mark_listed();
     }
 
     /// Takes the platform's list.
-    pub fn listed(&mut self, list: VmList) {
+    pub fn set_vm_list(&mut self, list: VmList) {
         self.listed = list;
         self.mark_listed();
     }
@@ -137,7 +137,7 @@
     /// Lets time pass: silence turns into suspicion, death and oblivion.
     pub fn tick(&mut self, now: TimeMs) {
         for peer in self.peers.values_mut() {
-            let silent_ms = now.since(peer.heard);
+            let silent_ms = now.since(peer.heard_at);
             if silent_ms >= self.timings.dead_ms {
                 peer.life.handle(LifeEvent::SilentLong);
             } else if silent_ms >= self.timings.suspect_ms {
@@ -145,12 +145,12 @@
             }
         }
         let forget_ms = self.timings.forget_ms;
-        self.peers.retain(|_, peer| now.since(peer.heard) < forget_ms);
+        self.peers.retain(|_, peer| now.since(peer.heard_at) < forget_ms);
         self.by_vm.retain(|_, key| self.peers.contains_key(*key));
     }
 
     /// Takes note that nothing listens any more where a peer did: its run is gone.
-    pub fn refused(&mut self, vm: &VmName) {
+    pub fn mark_dead(&mut self, vm: &VmName) {
         if let Some(peer) = self.by_vm.get(vm).and_then(|key| self.peers.get_mut(*key)) {
             peer.life.handle(LifeEvent::SilentLong);
         }
@@ -162,7 +162,7 @@
     }
 
     /// The peer on a VM.
-    pub fn on(&self, vm: &VmName) -> Option<&Peer> {
+    pub fn peer_on(&self, vm: &VmName) -> Option<&Peer> {
         self.peers.get(*self.by_vm.get(vm)?)
     }
 
@@ -173,20 +173,20 @@
 
     /// Processes beside endpoints that take new work for a model or service.
     pub fn live_endpoints<'a>(&'a self, target: &'a ModelName) -> impl Iterator<Item = &'a Peer> {
-        let serves = move |peer: &&Peer| match &peer.heartbeat.duty {
-            Duty::Endpoint { serves, .. } => serves == target,
-            Duty::Entry { .. } => false,
+        let serves = move |peer: &&Peer| match &peer.heartbeat.role_status {
+            RoleStatus::Endpoint { serves, .. } => serves == target,
+            RoleStatus::Entry { .. } => false,
         };
         self.all().filter(|peer| peer.is_live()).filter(serves)
     }
 
     /// The peer that owns a shard under the newest epoch, unless it counts as gone.
     pub fn owner_of(&self, shard: ShardId) -> Option<(&Peer, Epoch)> {
-        let epoch_of = |peer: &Peer| match &peer.heartbeat.duty {
-            Duty::Entry { owned, .. } => {
+        let epoch_of = |peer: &Peer| match &peer.heartbeat.role_status {
+            RoleStatus::Entry { owned, .. } => {
                 owned.iter().find(|(id, _)| *id == shard).map(|(_, epoch)| *epoch)
             }
-            Duty::Endpoint { .. } => None,
+            RoleStatus::Endpoint { .. } => None,
         };
         let owners = self.all().filter(|peer| !peer.is_dead());
         owners.filter_map(|peer| Some((peer, epoch_of(peer)?))).max_by_key(|(_, epoch)| *epoch)
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,4 @@
-use super::{Duty, Heartbeat, PeerState, PeerTable, Timings, VmList};
+use super::{Heartbeat, LivenessTimeouts, PeerState, PeerTable, RoleStatus, VmList};
 use crate::membership::vm_list::ListedVm;
 use crate::prelude::*;
 
@@ -12,7 +12,7 @@
         address: "127.0.0.1:1".parse().unwrap(),
         control: "127.0.0.1:2".parse().unwrap(),
         state: PeerState::Live,
-        duty: Duty::Endpoint {
+        role_status: RoleStatus::Endpoint {
             serves: ModelName::parse("small").unwrap(),
             running: 0,
             queued: 0,
@@ -22,7 +22,7 @@
 }
 
 fn table() -> PeerTable {
-    PeerTable::new(Timings { suspect_ms: 300, dead_ms: 800, forget_ms: 10_000 })
+    PeerTable::new(LivenessTimeouts { suspect_ms: 300, dead_ms: 800, forget_ms: 10_000 })
 }
 
 fn live(table: &PeerTable) -> usize {
@@ -36,10 +36,10 @@
 #[test]
 fn silence_is_suspicion_first_and_death_later() {
     let mut table = table();
-    table.heard(TimeMs(0), heartbeat("m1", 1, 0, 1));
+    table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     table.tick(TimeMs(400));
     assert_eq!((live(&table), dead(&table)), (0, 0));
-    table.heard(TimeMs(500), heartbeat("m1", 1, 0, 2));
+    table.record_heartbeat(TimeMs(500), heartbeat("m1", 1, 0, 2));
     assert_eq!(live(&table), 1);
     table.tick(TimeMs(1_400));
     assert_eq!((live(&table), dead(&table)), (0, 1));
@@ -50,28 +50,28 @@
 #[test]
 fn a_leaving_endpoint_stays_out_whatever_comes_late() {
     let mut table = table();
-    table.heard(TimeMs(0), heartbeat("m1", 1, 0, 1));
+    table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     let leaving = Heartbeat { state: PeerState::Leaving, ..heartbeat("m1", 1, 0, 3) };
-    table.heard(TimeMs(10), leaving);
-    table.heard(TimeMs(20), heartbeat("m1", 1, 0, 2));
-    table.heard(TimeMs(30), heartbeat("m1", 1, 0, 4));
+    table.record_heartbeat(TimeMs(10), leaving);
+    table.record_heartbeat(TimeMs(20), heartbeat("m1", 1, 0, 2));
+    table.record_heartbeat(TimeMs(30), heartbeat("m1", 1, 0, 4));
     assert_eq!(live(&table), 0);
 }
 
 #[test]
 fn a_vm_replaced_under_its_name_is_another_instance() {
     let mut table = table();
-    assert!(table.heard(TimeMs(0), heartbeat("m1", 1, 100, 50)));
-    assert!(table.heard(TimeMs(10), heartbeat("m1", 2, 200, 1)));
-    assert!(!table.heard(TimeMs(20), heartbeat("m1", 1, 100, 51)));
-    let peer = table.on(&VmName::parse("m1").unwrap()).unwrap();
+    assert!(table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 100, 50)));
+    assert!(table.record_heartbeat(TimeMs(10), heartbeat("m1", 2, 200, 1)));
+    assert!(!table.record_heartbeat(TimeMs(20), heartbeat("m1", 1, 100, 51)));
+    let peer = table.peer_on(&VmName::parse("m1").unwrap()).unwrap();
     assert_eq!(peer.heartbeat.instance, Instance(2));
 }
 
 #[test]
 fn the_platforms_list_alone_stops_new_work_too() {
     let mut table = table();
-    table.heard(TimeMs(0), heartbeat("m1", 1, 0, 1));
+    table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     let address = "127.0.0.1:1".parse().unwrap();
     let vm = ListedVm {
         vm: "m1".to_string(),
@@ -79,7 +79,7 @@
         address,
         state: "leaving".to_string(),
     };
-    table.listed(VmList { vms: vec![vm] });
+    table.set_vm_list(VmList { vms: vec![vm] });
     assert_eq!(live(&table), 0);
 }
 
--- a/src/programs/active.rs
+++ b/src/programs/active.rs
@@ -10,9 +10,9 @@
     /// An attempt was dispatched.
     Running,
     /// The attempt's outcome is not known; the process beside the endpoint is being asked.
-    Asking {
+    AwaitingReport {
         /// When to ask again.
-        next_ms: TimeMs,
+        next_query_at: TimeMs,
         /// How often nobody answered.
         unanswered: u32,
     },
@@ -37,7 +37,7 @@
 
 /// A turn that is not recorded as done yet.
 #[value]
-pub struct Active {
+pub struct ActiveTurn {
     /// Its number.
     pub turn: TurnNo,
     /// Digest of the call.
@@ -68,10 +68,10 @@
     pub phase: Phase,
 }
 
-impl Active {
+impl ActiveTurn {
     /// A turn that an earlier owner left open, to be asked about.
-    pub fn left_open(open: &IntentRecord, now: TimeMs) -> Active {
-        Active {
+    pub fn from_open_intent(open: &IntentRecord, now: TimeMs) -> ActiveTurn {
+        ActiveTurn {
             turn: open.turn,
             digest: open.digest,
             request: None,
@@ -85,7 +85,7 @@
             text: String::new(),
             attempts: 1,
             alone: false,
-            phase: Phase::Asking { next_ms: now, unanswered: 0 },
+            phase: Phase::AwaitingReport { next_query_at: now, unanswered: 0 },
         }
     }
 
--- a/src/programs/call.rs
+++ b/src/programs/call.rs
@@ -27,7 +27,7 @@
     }
 
     /// Rough size: that of a text, or a constant for parts.
-    pub fn bytes(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         const PARTS_BYTES: usize = 256;
         self.content.as_str().map_or(PARTS_BYTES, str::len)
     }
@@ -154,7 +154,7 @@
 /// Why an answer ended.
 #[wire]
 #[derive(Copy)]
-pub enum Finish {
+pub enum FinishReason {
     /// The model ended it.
     Stop,
     /// It reached its token limit.
@@ -169,7 +169,7 @@
         /// The whole text.
         text: Arc<str>,
         /// Why it ended.
-        finish: Finish,
+        finish: FinishReason,
         /// What it used.
         usage: Usage,
     },
@@ -187,7 +187,7 @@
 /// Whether a call ran.
 #[wire]
 #[derive(Copy)]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It did not, and will not.
     NotRun,
     /// It did.
@@ -263,7 +263,7 @@
 #[derive(Copy)]
 pub struct Refusal {
     /// Whether the call ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Why it was refused.
     pub reason: RefusalReason,
     /// When a repeat can succeed; `None` if it can't.
@@ -273,12 +273,12 @@
 impl Refusal {
     /// A refusal of a call that did not run and is not worth repeating as it is.
     pub fn not_run(reason: RefusalReason) -> Refusal {
-        Refusal { ran: Ran::NotRun, reason, retry_after_ms: None }
+        Refusal { ran: ExecutionStatus::NotRun, reason, retry_after_ms: None }
     }
 
     /// A refusal of a call that may have run.
     pub fn unknown(reason: RefusalReason) -> Refusal {
-        Refusal { ran: Ran::Unknown, reason, retry_after_ms: None }
+        Refusal { ran: ExecutionStatus::Unknown, reason, retry_after_ms: None }
     }
 
     /// The same, worth repeating after a while.
--- a/src/programs/mod.rs
+++ b/src/programs/mod.rs
@@ -5,26 +5,26 @@
 
 mod active;
 mod call;
-mod fold;
 mod owner;
+mod ownership;
 mod record;
+mod shard_state;
 mod state;
-mod tenure;
 
-pub use active::{Active, Phase};
+pub use active::{ActiveTurn, Phase};
 pub use call::{
-    CallId, Finish, Message, ProgramLimits, Ran, Refusal, RefusalReason, Reply, TurnRequest,
-    TurnResult, Usage, Work,
+    CallId, ExecutionStatus, FinishReason, Message, ProgramLimits, Refusal, RefusalReason, Reply,
+    TurnRequest, TurnResult, Usage, Work,
 };
-pub use fold::{Applied, ShardFold};
 pub use owner::{
-    Action, AppendError, AppendedAt, Attempt, AttemptFrame, AttemptReport, AttemptWork, Event,
-    FailureCause, Limits, PlaceRefusal, PlaceRequest, Predecessor, ReadPage, ShardOwner, Standing,
-    Surroundings,
+    Action, AppendedAt, Attempt, AttemptFrame, AttemptReport, AttemptWork, CrashStatus, Event,
+    FailureCause, LogCallError, OwnerEnvironment, OwnerLimits, PlaceRefusal, PlaceRequest,
+    Predecessor, ReadPage, ShardOwner,
 };
+pub use ownership::ShardOwnership;
 pub use record::{IntentRecord, OutcomeRecord, ProgramSnapshot, Record, StoredRecord};
-pub use state::{Account, ProgramState, TurnEntry};
-pub use tenure::Tenure;
+pub use shard_state::{ApplyOutcome, ShardState};
+pub use state::{Account, FinishedTurn, ProgramState};
 
 #[cfg(test)]
 mod tests;
--- a/src/programs/owner/attempts.rs
+++ b/src/programs/owner/attempts.rs
@@ -2,11 +2,11 @@
 use super::{Context, ShardOwner};
 use crate::prelude::*;
 use crate::programs::owner::{
-    Action, Attempt, AttemptFrame, AttemptReport, AttemptWork, FailureCause, Standing,
+    Action, Attempt, AttemptFrame, AttemptReport, AttemptWork, CrashStatus, FailureCause,
 };
 use crate::programs::{
-    Active, OutcomeRecord, Phase, ProgramState, Ran, Record, Refusal, RefusalReason, Reply,
-    TurnRequest, TurnResult, Work,
+    ActiveTurn, ExecutionStatus, OutcomeRecord, Phase, ProgramState, Record, Refusal,
+    RefusalReason, Reply, TurnRequest, TurnResult, Work,
 };
 
 /// When to come back after every attempt of a call failed.
@@ -24,9 +24,9 @@
         active.phase = Phase::Running;
         active.attempts += 1;
         let deadline = active.deadline().unwrap_or(request.deadline);
-        let standing = cx.env.standing(&program.workspace, &active.digest);
-        active.alone = standing != Standing::Clear;
-        let state = self.fold.program(program);
+        let crash_status = cx.env.crash_status(&program.workspace, &active.digest);
+        active.alone = crash_status != CrashStatus::Clear;
+        let state = self.shard_state.program(program);
         let attempt = Attempt {
             id: active.attempt,
             target: active.endpoint.clone(),
@@ -34,7 +34,7 @@
             turn: active.turn,
             digest: active.digest,
             work: attempt_work(state, active, &request),
-            attained_tokens: self.fold.account(program).spent_tokens,
+            attained_tokens: self.shard_state.account(program).spent_tokens,
             deadline_in_ms: deadline.since(cx.now),
             alone: active.alone,
         };
@@ -49,7 +49,7 @@
             AttemptFrame::Delta { text } => self.delta(cx, &program, &text),
             AttemptFrame::Done { result } => {
                 self.clear_suspicion(cx, &program);
-                cx.env.succeeded(&program.workspace);
+                cx.env.record_success(&program.workspace);
                 self.done(cx, &program, result);
             }
             AttemptFrame::Failed { cause, spent_tokens } => {
@@ -61,8 +61,8 @@
     /// The program whose newest attempt this is. A frame of an earlier attempt finds none: it
     /// would otherwise put one attempt's text into another's answer.
     fn program_running(&self, attempt: AttemptId) -> Option<ProgramId> {
-        let current = |active: &Active| {
-            let under_way = matches!(active.phase, Phase::Running | Phase::Asking { .. });
+        let current = |active: &ActiveTurn| {
+            let under_way = matches!(active.phase, Phase::Running | Phase::AwaitingReport { .. });
             active.attempt == attempt && under_way
         };
         self.active.iter().find(|(_, active)| current(active)).map(|(id, _)| id.clone())
@@ -80,7 +80,7 @@
 
     fn done(&mut self, cx: &mut Context<'_>, program: &ProgramId, result: TurnResult) {
         self.stream_rest(cx, program, &result);
-        let Some((epoch, active)) = self.tenure.epoch().zip(self.active.get_mut(program)) else {
+        let Some((epoch, active)) = self.ownership.epoch().zip(self.active.get_mut(program)) else {
             return;
         };
         let charge_tokens = match &result {
@@ -115,7 +115,7 @@
         };
         if let FailureCause::Crashed { run } = cause {
             let crash = Crash { vm: active.endpoint.vm.clone(), run, alone: active.alone };
-            cx.env.crashed(&program.workspace, &active.digest, crash);
+            cx.env.record_crash(&program.workspace, &active.digest, crash);
         }
         if !cause.certainly_not_run() && !active.idempotent {
             self.done(cx, program, TurnResult::Unknown);
@@ -132,7 +132,7 @@
 
     fn clear_suspicion(&self, cx: &mut Context<'_>, program: &ProgramId) {
         if let Some(active) = self.active.get(program).filter(|active| active.alone) {
-            cx.env.cleared(&program.workspace, &active.digest);
+            cx.env.clear_suspect(&program.workspace, &active.digest);
         }
     }
 
@@ -157,7 +157,7 @@
     }
 
     fn settle(&mut self, program: &ProgramId, charge_tokens: u64) {
-        let Some((epoch, active)) = self.tenure.epoch().zip(self.active.get_mut(program)) else {
+        let Some((epoch, active)) = self.ownership.epoch().zip(self.active.get_mut(program)) else {
             return;
         };
         let charge_tokens = charge_tokens.min(active.reserve_tokens);
@@ -179,14 +179,14 @@
         let Some(active) = self.active.get_mut(program) else {
             return;
         };
-        let standing = cx.env.standing(&program.workspace, &active.digest);
+        let crash_status = cx.env.crash_status(&program.workspace, &active.digest);
         let out_of_tries = active.attempts >= self.limits.max_attempts;
-        let given_up = standing == Standing::GivenUp || out_of_tries;
+        let given_up = crash_status == CrashStatus::Poison || out_of_tries;
         let nobody_waits = active.waiters.is_empty() || cause == FailureCause::Cancelled;
         let over = given_up || nobody_waits || active.request.is_none();
-        if over || !cx.env.take_retry(&program.workspace) {
-            let reason = match standing {
-                Standing::GivenUp => RefusalReason::CrashesEndpoints,
+        if over || !cx.env.try_acquire_retry(&program.workspace) {
+            let reason = match crash_status {
+                CrashStatus::Poison => RefusalReason::CrashesEndpoints,
                 _ => RefusalReason::AttemptsFailed,
             };
             self.give_up(cx, program, reason);
@@ -204,7 +204,7 @@
         };
         let refusal = match reason {
             RefusalReason::CrashesEndpoints => {
-                Refusal { ran: Ran::Ran, reason, retry_after_ms: None }
+                Refusal { ran: ExecutionStatus::Ran, reason, retry_after_ms: None }
             }
             _ => Refusal::unknown(reason).retry_after(FAILED_RETRY_MS),
         };
@@ -219,7 +219,8 @@
         let Some(request) = active.request.clone() else {
             return;
         };
-        let settled = self.fold.program(program).is_none_or(|state| state.open.is_none());
+        let settled =
+            self.shard_state.program(program).is_none_or(|state| state.open_intent.is_none());
         if !settled {
             // The log still counts the last attempt's reservation against the budget.
             return;
@@ -232,8 +233,8 @@
         let generated_tokens = active.generated_tokens;
         let worst_case = request.work.worst_case_tokens();
         let reserve_tokens = worst_case.saturating_sub(generated_tokens).max(worst_case.min(1));
-        let account = self.fold.account(program);
-        if !account.covers(reserve_tokens, request.limits.budget_tokens) {
+        let account = self.shard_state.account(program);
+        if !account.can_reserve(reserve_tokens, request.limits.budget_tokens) {
             return self.give_up(cx, program, RefusalReason::BudgetExhausted);
         }
         let attempt = self.next_attempt();
@@ -257,11 +258,11 @@
     }
 
     pub(super) fn ask(&mut self, cx: &mut Context<'_>, program: &ProgramId, unanswered: u32) {
-        let epoch = self.tenure.epoch().unwrap_or_default();
-        let next_ms = cx.now.plus(self.limits.ask_every_ms);
+        let epoch = self.ownership.epoch().unwrap_or_default();
+        let next_query_at = cx.now.plus(self.limits.ask_every_ms);
         if let Some(active) = self.active.get_mut(program) {
-            active.phase = Phase::Asking { next_ms, unanswered };
-            cx.out.push(Action::Ask {
+            active.phase = Phase::AwaitingReport { next_query_at, unanswered };
+            cx.out.push(Action::QueryAttempt {
                 attempt: active.attempt,
                 endpoint: active.endpoint.clone(),
                 epoch,
@@ -278,7 +279,7 @@
         let Some(program) = self.program_running(attempt) else {
             return;
         };
-        let Some(Phase::Asking { next_ms, unanswered }) =
+        let Some(Phase::AwaitingReport { next_query_at, unanswered }) =
             self.active.get(&program).map(|active| active.phase)
         else {
             return;
@@ -288,16 +289,16 @@
                 self.failed(cx, &program, FailureCause::Rejected, Some(0));
             }
             AttemptReport::Over(AttemptFrame::Done { result }) => {
-                self.done_elsewhere(cx, &program, next_ms, result);
+                self.done_elsewhere(cx, &program, next_query_at, result);
             }
             AttemptReport::Over(AttemptFrame::Failed { cause, spent_tokens }) => {
                 self.failed(cx, &program, cause, spent_tokens);
             }
             AttemptReport::Running | AttemptReport::Over(AttemptFrame::Delta { .. }) => {
-                self.set_asking(&program, next_ms, 0);
+                self.set_asking(&program, next_query_at, 0);
             }
             AttemptReport::NoAnswer if unanswered + 1 < self.limits.max_unanswered => {
-                self.set_asking(&program, next_ms, unanswered + 1);
+                self.set_asking(&program, next_query_at, unanswered + 1);
             }
             AttemptReport::NoAnswer | AttemptReport::Forgotten => {
                 self.failed(cx, &program, FailureCause::Interrupted, None);
@@ -305,9 +306,9 @@
         }
     }
 
-    fn set_asking(&mut self, program: &ProgramId, next_ms: TimeMs, unanswered: u32) {
+    fn set_asking(&mut self, program: &ProgramId, next_query_at: TimeMs, unanswered: u32) {
         if let Some(active) = self.active.get_mut(program) {
-            active.phase = Phase::Asking { next_ms, unanswered };
+            active.phase = Phase::AwaitingReport { next_query_at, unanswered };
         }
     }
 
@@ -316,14 +317,14 @@
         &mut self,
         cx: &mut Context<'_>,
         program: &ProgramId,
-        next_ms: TimeMs,
+        next_query_at: TimeMs,
         result: TurnResult,
     ) {
         let nobody_asked = self.active.get(program).is_some_and(|active| active.request.is_none());
         if nobody_asked && matches!(result, TurnResult::Answered { .. }) {
             // The call's messages come only with the caller's repeat, and a history without
             // them would be wrong. Until then the process beside the endpoint keeps the result.
-            self.set_asking(program, next_ms, 0);
+            self.set_asking(program, next_query_at, 0);
             return;
         }
         self.done(cx, program, result);
@@ -332,7 +333,7 @@
 
 fn attempt_work(
     state: Option<&ProgramState>,
-    active: &Active,
+    active: &ActiveTurn,
     request: &TurnRequest,
 ) -> AttemptWork {
     match &request.work {
--- a/src/programs/owner/log.rs
+++ b/src/programs/owner/log.rs
@@ -1,10 +1,10 @@
 use super::{Context, ShardOwner};
 use crate::prelude::*;
-use crate::programs::owner::{Action, AppendError, AppendedAt, Predecessor, ReadPage};
-use crate::programs::tenure::TenureEvent;
+use crate::programs::owner::{Action, AppendedAt, LogCallError, Predecessor, ReadPage};
+use crate::programs::ownership::OwnershipEvent;
 use crate::programs::{
-    Active, Applied, OutcomeRecord, Phase, Record, Refusal, RefusalReason, Reply, ShardFold,
-    StoredRecord,
+    ActiveTurn, ApplyOutcome, OutcomeRecord, Phase, Record, Refusal, RefusalReason, Reply,
+    ShardState, StoredRecord,
 };
 
 impl ShardOwner {
@@ -41,10 +41,10 @@
     pub(super) fn appended(
         &mut self,
         cx: &mut Context<'_>,
-        result: Result<AppendedAt, AppendError>,
+        result: Result<AppendedAt, LogCallError>,
     ) {
         self.log.appending = false;
-        if self.tenure.is_lost() {
+        if self.ownership.is_lost() {
             return;
         }
         match result {
@@ -57,7 +57,7 @@
     /// behind what was read, nothing lies between, and no read is needed.
     fn append_taken(&mut self, cx: &mut Context<'_>, at: AppendedAt) {
         self.log.failing = false;
-        if self.tenure.is_starting() || at.first != self.fold.next() {
+        if self.ownership.is_starting() || at.first != self.shard_state.next_offset() {
             self.start_read(cx);
             return;
         }
@@ -87,15 +87,15 @@
     }
 
     fn read_from(&self) -> Option<Offset> {
-        match self.tenure.is_starting() {
+        match self.ownership.is_starting() {
             true => self.log.recovered.last().map(|last| last.offset.plus(1)),
-            false => Some(self.fold.next()),
+            false => Some(self.shard_state.next_offset()),
         }
     }
 
-    pub(super) fn read(&mut self, cx: &mut Context<'_>, result: Result<ReadPage, AppendError>) {
+    pub(super) fn read(&mut self, cx: &mut Context<'_>, result: Result<ReadPage, LogCallError>) {
         self.log.reading = false;
-        if self.tenure.is_lost() {
+        if self.ownership.is_lost() {
             return;
         }
         let page = match result {
@@ -104,7 +104,7 @@
         };
         self.log.failing = false;
         let more = !page.at_end || std::mem::take(&mut self.log.read_again);
-        if self.tenure.is_starting() {
+        if self.ownership.is_starting() {
             self.recover(cx, page, more);
         } else {
             self.catch_up(cx, page, more);
@@ -112,14 +112,14 @@
     }
 
     fn catch_up(&mut self, cx: &mut Context<'_>, page: ReadPage, more: bool) {
-        if page.earliest > self.fold.next() {
+        if page.earliest > self.shard_state.next_offset() {
             // Records expired before they were read: what they held can't be known any more.
             return self.lose(cx);
         }
         for stored in page.records {
             self.apply(cx, stored.offset, stored.time_ms, &stored.data);
         }
-        if self.tenure.is_lost() {
+        if self.ownership.is_lost() {
             return;
         }
         if more {
@@ -164,21 +164,21 @@
         self.predecessor = predecessor(earliest, &before);
         self.confirmed = Some(self.log.read_asked);
         let first = recovered.first().map_or(earliest, |first| first.offset);
-        self.fold = ShardFold::of_stream(first, &recovered);
+        self.shard_state = ShardState::from_records(first, &recovered);
         self.log.in_flight.clear();
-        self.tenure.handle(TenureEvent::ClaimRead(epoch));
-        if self.fold.epoch() != epoch {
+        self.ownership.handle(OwnershipEvent::ClaimRead(epoch));
+        if self.shard_state.epoch() != epoch {
             return self.lose(cx);
         }
-        self.tenure.handle(TenureEvent::CaughtUp);
+        self.ownership.handle(OwnershipEvent::CaughtUp);
         self.take_over(cx);
     }
 
     /// Starts to own: asks about what earlier owners left open, then serves who has waited.
     fn take_over(&mut self, cx: &mut Context<'_>) {
-        let left_open = self.fold.programs().filter_map(|(id, state)| {
-            let open = state.open.as_ref()?;
-            Some((id.clone(), Active::left_open(open, cx.now)))
+        let left_open = self.shard_state.programs().filter_map(|(id, state)| {
+            let open = state.open_intent.as_ref()?;
+            Some((id.clone(), ActiveTurn::from_open_intent(open, cx.now)))
         });
         self.active = left_open.collect();
         let programs: Vec<ProgramId> = self.active.keys().cloned().collect();
@@ -196,11 +196,11 @@
     }
 
     fn apply(&mut self, cx: &mut Context<'_>, offset: Offset, time: UnixMs, record: &Record) {
-        if offset < self.fold.next() || self.tenure.is_lost() {
+        if offset < self.shard_state.next_offset() || self.ownership.is_lost() {
             return;
         }
-        let own = self.tenure.epoch().is_some() && record.epoch() == self.tenure.epoch();
-        let applied = self.fold.apply(offset, time, record);
+        let own = self.ownership.epoch().is_some() && record.epoch() == self.ownership.epoch();
+        let applied = self.shard_state.apply(offset, time, record);
         if matches!(record, Record::Claim { .. }) {
             return self.lose(cx);
         }
@@ -211,17 +211,17 @@
     }
 
     /// Goes on with what waited for a record of ours.
-    fn recorded(&mut self, cx: &mut Context<'_>, record: &Record, applied: Applied) {
+    fn recorded(&mut self, cx: &mut Context<'_>, record: &Record, applied: ApplyOutcome) {
         match record {
-            Record::Intent(intent) if applied == Applied::Counted => {
+            Record::Intent(intent) if applied == ApplyOutcome::Accepted => {
                 self.intent_recorded(cx, &intent.program, intent.attempt);
             }
-            Record::Outcome(outcome) if applied == Applied::Counted => {
+            Record::Outcome(outcome) if applied == ApplyOutcome::Accepted => {
                 self.outcome_recorded(cx, outcome);
             }
             Record::Ended { program, .. } => self.ended(cx, program),
             Record::Release { .. } => {
-                self.tenure.handle(TenureEvent::ReleaseRead);
+                self.ownership.handle(OwnershipEvent::ReleaseRead);
                 self.lose(cx);
             }
             _ => {}
@@ -244,7 +244,7 @@
     /// Nobody waits any more and nothing was dispatched: the reservation is given back.
     fn withdraw_intent(&mut self, program: &ProgramId, attempt: AttemptId) {
         self.active.remove(program);
-        if let Some(epoch) = self.tenure.epoch() {
+        if let Some(epoch) = self.ownership.epoch() {
             let program = program.clone();
             self.log.outbox.push(Record::Settled { program, epoch, attempt, charge_tokens: 0 });
         }
@@ -267,7 +267,7 @@
             id == program || (program.root() == &*program.name && id.account() == *program)
         };
         let over: Vec<ProgramId> =
-            self.fold.programs().map(|(id, _)| id).filter(|id| below(id)).cloned().collect();
+            self.shard_state.programs().map(|(id, _)| id).filter(|id| below(id)).cloned().collect();
         over.iter().for_each(|id| self.free(cx, id));
         let (told, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.ending).into_iter().partition(|(_, id)| id == program);
@@ -278,9 +278,9 @@
     pub(super) fn release_if_idle(&mut self) {
         let log = &self.log;
         let idle = self.active.is_empty() && log.outbox.is_empty() && log.in_flight.is_empty();
-        if self.tenure.is_leaving()
+        if self.ownership.is_releasing()
             && idle
-            && let Some(epoch) = self.tenure.epoch()
+            && let Some(epoch) = self.ownership.epoch()
         {
             self.log.outbox.push(Record::Release { epoch });
         }
@@ -308,8 +308,8 @@
 
     /// The snapshot record of a program without an attempt under way.
     pub(super) fn snapshot_of(&self, program: &ProgramId) -> Option<Record> {
-        let epoch = self.tenure.epoch()?;
-        let snapshot = self.fold.program(program)?.snapshot(program);
+        let epoch = self.ownership.epoch()?;
+        let snapshot = self.shard_state.program(program)?.snapshot(program);
         Some(Record::Snapshot { epoch, snapshot })
     }
 }
--- a/src/programs/owner/messages.rs
+++ b/src/programs/owner/messages.rs
@@ -9,9 +9,9 @@
     /// Take the shard.
     Claim,
     /// Give it up once nothing is under way.
-    HandOver,
+    Release,
     /// Make sure that the shard is still ours.
-    Confirm,
+    ConfirmOwnership,
     /// A caller wants a turn run.
     Request {
         /// The caller.
@@ -32,9 +32,9 @@
         call: CallId,
     },
     /// The append that was asked for is over.
-    Appended(Result<AppendedAt, AppendError>),
+    Appended(Result<AppendedAt, LogCallError>),
     /// The read that was asked for is over.
-    Read(Result<ReadPage, AppendError>),
+    Read(Result<ReadPage, LogCallError>),
     /// An attempt made progress.
     Frame {
         /// The attempt.
@@ -43,7 +43,7 @@
         frame: AttemptFrame,
     },
     /// The connection to an attempt broke before its last frame.
-    Lost {
+    ConnectionLost {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -73,7 +73,7 @@
 /// Why the log gave no answer.
 #[value]
 #[derive(Copy)]
-pub enum AppendError {
+pub enum LogCallError {
     /// It answered that it does not take records now.
     Unavailable,
     /// No answer came: the call may have taken effect, now or later.
@@ -106,7 +106,7 @@
     /// Send an attempt to the process beside its endpoint.
     Dispatch(Attempt),
     /// Ask the process beside an endpoint what became of an attempt.
-    Ask {
+    QueryAttempt {
         /// The attempt.
         attempt: AttemptId,
         /// Where it went.
@@ -122,7 +122,7 @@
         endpoint: EndpointRef,
     },
     /// Free what engines hold for a program that has ended.
-    Free {
+    FreeCache {
         /// The program.
         program: ProgramId,
     },
@@ -251,24 +251,24 @@
 }
 
 /// What an owner asks of its surroundings while it decides.
-pub trait Surroundings {
+pub trait OwnerEnvironment {
     /// Picks an endpoint for an attempt.
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal>;
 
     /// What is known of a call that may crash engines.
-    fn standing(&self, workspace: &WorkspaceId, digest: &Digest) -> Standing;
+    fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus;
 
     /// A call crashed the engine that ran it. From now on `standing` counts it.
-    fn crashed(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash);
+    fn record_crash(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash);
 
     /// A suspected call ran alone and ended well: it is no suspect any more.
-    fn cleared(&mut self, workspace: &WorkspaceId, digest: &Digest);
+    fn clear_suspect(&mut self, workspace: &WorkspaceId, digest: &Digest);
 
     /// Counts an attempt that succeeded.
-    fn succeeded(&mut self, workspace: &WorkspaceId);
+    fn record_success(&mut self, workspace: &WorkspaceId);
 
     /// Takes a retry from the workspace's budget, if there is one left.
-    fn take_retry(&mut self, workspace: &WorkspaceId) -> bool;
+    fn try_acquire_retry(&mut self, workspace: &WorkspaceId) -> bool;
 
     /// Reserves the next append of this entry's part of the log's rate; returns how long to wait
     /// for it.
@@ -310,13 +310,13 @@
 /// What is known of a call that may crash engines.
 #[value]
 #[derive(Copy)]
-pub enum Standing {
+pub enum CrashStatus {
     /// Nothing.
     Clear,
     /// It was running when an engine crashed: it runs alone from now on.
     Suspect,
     /// It crashed one while it ran alone: it is not run again.
-    GivenUp,
+    Poison,
 }
 
 /// Who owned a shard before.
@@ -334,7 +334,7 @@
 /// Bounds of an owner.
 #[value]
 #[derive(Copy)]
-pub struct Limits {
+pub struct OwnerLimits {
     /// Attempts for one turn.
     pub max_attempts: u32,
     /// First back-off between attempts; doubles each time.
@@ -357,10 +357,10 @@
     pub waits_for_log: bool,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
+impl Default for OwnerLimits {
+    fn default() -> OwnerLimits {
         const HOUR_MS: u64 = 3_600_000;
-        Limits {
+        OwnerLimits {
             max_attempts: 3,
             backoff_ms: 50,
             ask_every_ms: 200,
--- a/src/programs/owner/mod.rs
+++ b/src/programs/owner/mod.rs
@@ -9,16 +9,18 @@
 use std::collections::{HashMap, VecDeque};
 
 pub use messages::{
-    Action, AppendError, AppendedAt, Attempt, AttemptFrame, AttemptReport, AttemptWork, Event,
-    FailureCause, Limits, PlaceRefusal, PlaceRequest, Predecessor, ReadPage, Standing,
-    Surroundings,
+    Action, AppendedAt, Attempt, AttemptFrame, AttemptReport, AttemptWork, CrashStatus, Event,
+    FailureCause, LogCallError, OwnerEnvironment, OwnerLimits, PlaceRefusal, PlaceRequest,
+    Predecessor, ReadPage,
 };
 
 use messages::UnconfirmedRefusal;
 
 use crate::prelude::*;
-use crate::programs::tenure::TenureEvent;
-use crate::programs::{Active, CallId, Record, Refusal, Reply, ShardFold, StoredRecord, Tenure};
+use crate::programs::ownership::OwnershipEvent;
+use crate::programs::{
+    ActiveTurn, CallId, Record, Refusal, Reply, ShardOwnership, ShardState, StoredRecord,
+};
 use crate::programs::{RefusalReason, TurnRequest};
 
 /// The state machine of one shard's owner. It does no I/O: see [`ShardOwner::handle`].
@@ -27,12 +29,12 @@
     entry: VmName,
     instance: Instance,
     nonce: u64,
-    limits: Limits,
-    tenure: Tenure,
+    limits: OwnerLimits,
+    ownership: ShardOwnership,
     predecessor: Predecessor,
     confirmed: Option<TimeMs>,
-    fold: ShardFold,
-    active: HashMap<ProgramId, Active>,
+    shard_state: ShardState,
+    active: HashMap<ProgramId, ActiveTurn>,
     next_sequence: u64,
     log: LogState,
     parked: Vec<(CallId, TurnRequest)>,
@@ -66,7 +68,7 @@
 struct Context<'a> {
     now: TimeMs,
     unix: UnixMs,
-    env: &'a mut dyn Surroundings,
+    env: &'a mut dyn OwnerEnvironment,
     out: Vec<Action>,
 }
 
@@ -87,7 +89,7 @@
         entry: VmName,
         instance: Instance,
         nonce: u64,
-        limits: Limits,
+        limits: OwnerLimits,
     ) -> ShardOwner {
         ShardOwner {
             shard,
@@ -95,10 +97,10 @@
             instance,
             nonce,
             limits,
-            tenure: Tenure::new(),
+            ownership: ShardOwnership::new(),
             predecessor: Predecessor::Unknown,
             confirmed: None,
-            fold: ShardFold::new(),
+            shard_state: ShardState::new(),
             active: HashMap::new(),
             next_sequence: 1,
             log: LogState::default(),
@@ -114,13 +116,13 @@
     }
 
     /// The tenure of the shard.
-    pub fn tenure(&self) -> &Tenure {
-        &self.tenure
+    pub fn ownership(&self) -> &ShardOwnership {
+        &self.ownership
     }
 
     /// The state that the log gives.
-    pub fn fold(&self) -> &ShardFold {
-        &self.fold
+    pub fn shard_state(&self) -> &ShardState {
+        &self.shard_state
     }
 
     /// Who owned the shard before.
@@ -129,12 +131,12 @@
     }
 
     /// The last moment at which the log was asked and then showed that the shard is still ours.
-    pub fn confirmed(&self) -> Option<TimeMs> {
+    pub fn confirmed_at(&self) -> Option<TimeMs> {
         self.confirmed
     }
 
     /// Turns under way.
-    pub fn active(&self) -> impl Iterator<Item = (&ProgramId, &Active)> {
+    pub fn active_turns(&self) -> impl Iterator<Item = (&ProgramId, &ActiveTurn)> {
         self.active.iter()
     }
 
@@ -149,20 +151,20 @@
         now: TimeMs,
         unix: UnixMs,
         event: Event,
-        env: &mut dyn Surroundings,
+        env: &mut dyn OwnerEnvironment,
     ) -> Vec<Action> {
         let mut cx = Context { now, unix, env, out: Vec::new() };
         match event {
             Event::Claim => self.claim(&mut cx),
-            Event::HandOver => self.hand_over(),
-            Event::Confirm => self.start_read(&mut cx),
+            Event::Release => self.hand_over(),
+            Event::ConfirmOwnership => self.start_read(&mut cx),
             Event::Request { call, request } => self.request(&mut cx, call, request),
             Event::End { call, program } => self.end(&mut cx, call, program),
             Event::CallerGone { call } => self.caller_gone(call),
             Event::Appended(result) => self.appended(&mut cx, result),
             Event::Read(result) => self.read(&mut cx, result),
             Event::Frame { attempt, frame } => self.frame(&mut cx, attempt, frame),
-            Event::Lost { attempt } => self.lost(&mut cx, attempt),
+            Event::ConnectionLost { attempt } => self.lost(&mut cx, attempt),
             Event::Report { attempt, report } => self.report(&mut cx, attempt, report),
             Event::Wake => {}
             Event::Tick => self.tick(&mut cx),
@@ -172,10 +174,10 @@
     }
 
     fn claim(&mut self, cx: &mut Context<'_>) {
-        if !self.tenure.is_idle() {
+        if !self.ownership.is_unclaimed() {
             return;
         }
-        self.tenure.handle(TenureEvent::Claim);
+        self.ownership.handle(OwnershipEvent::Claim);
         let claim =
             Record::Claim { entry: self.entry.clone(), instance: self.instance, nonce: self.nonce };
         self.log.in_flight.push_back(claim.clone());
@@ -184,13 +186,13 @@
     }
 
     fn hand_over(&mut self) {
-        self.tenure.handle(TenureEvent::HandOver);
+        self.ownership.handle(OwnershipEvent::Release);
         self.release_if_idle();
     }
 
     /// Gives the shard up for good: everything that still waits is told so.
     fn lose(&mut self, cx: &mut Context<'_>) {
-        self.tenure.handle(TenureEvent::OtherClaimRead);
+        self.ownership.handle(OwnershipEvent::OtherClaimRead);
         self.log.in_flight.clear();
         self.log.outbox.clear();
         for (call, _) in std::mem::take(&mut self.parked) {
@@ -209,7 +211,7 @@
     }
 }
 
-fn refusal_when_lost(active: &Active) -> Refusal {
+fn refusal_when_lost(active: &ActiveTurn) -> Refusal {
     use crate::programs::Phase;
     let untouched = active.phase == Phase::RecordingIntent && active.attempts == 0;
     let refusal = match untouched {
--- a/src/programs/owner/requests.rs
+++ b/src/programs/owner/requests.rs
@@ -2,10 +2,10 @@
 use super::{Context, ShardOwner};
 use crate::prelude::*;
 use crate::programs::active::Waiter;
-use crate::programs::owner::{Action, PlaceRefusal, PlaceRequest, Standing};
+use crate::programs::owner::{Action, CrashStatus, PlaceRefusal, PlaceRequest};
 use crate::programs::{
-    Active, CallId, IntentRecord, Phase, ProgramState, Ran, Record, Refusal, RefusalReason, Reply,
-    TurnRequest,
+    ActiveTurn, CallId, ExecutionStatus, IntentRecord, Phase, ProgramState, Record, Refusal,
+    RefusalReason, Reply, TurnRequest,
 };
 
 /// When to come back while another call of the program runs or its predecessor is missing.
@@ -36,11 +36,11 @@
 
 impl ShardOwner {
     pub(super) fn request(&mut self, cx: &mut Context<'_>, call: CallId, request: TurnRequest) {
-        if self.tenure.is_starting() {
+        if self.ownership.is_starting() {
             self.parked.push((call, request));
             return;
         }
-        if !self.tenure.is_owning() {
+        if !self.ownership.is_owning() {
             cx.refuse(call, Refusal::not_run(RefusalReason::NotOwner).retry_after(0));
             return;
         }
@@ -59,7 +59,7 @@
 
     fn verdict(&self, cx: &Context<'_>, request: &TurnRequest) -> Verdict {
         use RefusalReason as Why;
-        let known = self.fold.program(&request.program);
+        let known = self.shard_state.program(&request.program);
         if let Some(state) = known
             && let Some(verdict) = recorded_verdict(state, request)
         {
@@ -73,16 +73,20 @@
             let refusal = Refusal::not_run(Why::TurnTooEarly { expected: next });
             return Verdict::RefuseConfirmed(refusal.retry_after(BUSY_RETRY_MS));
         }
-        if cx.env.standing(&request.program.workspace, &request.digest) == Standing::GivenUp {
+        if cx.env.crash_status(&request.program.workspace, &request.digest) == CrashStatus::Poison {
             let reason = Why::CrashesEndpoints;
-            return Verdict::Refuse(Refusal { ran: Ran::Ran, reason, retry_after_ms: None });
+            return Verdict::Refuse(Refusal {
+                ran: ExecutionStatus::Ran,
+                reason,
+                retry_after_ms: None,
+            });
         }
         if next.0 > request.limits.max_turns {
             return Verdict::RefuseConfirmed(Refusal::not_run(Why::TurnsExhausted));
         }
         let worst_case = request.work.worst_case_tokens();
-        let account = self.fold.account(&request.program);
-        if !account.covers(
+        let account = self.shard_state.account(&request.program);
+        if !account.can_reserve(
             worst_case + self.unrecorded_reserve(&request.program),
             request.limits.budget_tokens,
         ) {
@@ -103,7 +107,7 @@
     fn unrecorded_reserve(&self, program: &ProgramId) -> u64 {
         let same =
             |id: &ProgramId| id.workspace == program.workspace && id.root() == program.root();
-        let unrecorded = |active: &Active| active.phase == Phase::RecordingIntent;
+        let unrecorded = |active: &ActiveTurn| active.phase == Phase::RecordingIntent;
         let reserves = self.active.iter().filter(|(id, active)| same(id) && unrecorded(active));
         reserves.map(|(_, active)| active.reserve_tokens).sum()
     }
@@ -119,7 +123,7 @@
             }
         };
         let attempt = self.next_attempt();
-        let active = Active {
+        let active = ActiveTurn {
             turn,
             digest: request.digest,
             attempt,
@@ -152,7 +156,7 @@
     }
 
     fn replay(&mut self, cx: &mut Context<'_>, call: CallId, program: &ProgramId, turn: TurnNo) {
-        let entry = self.fold.program(program).and_then(|state| state.turn(turn));
+        let entry = self.shard_state.program(program).and_then(|state| state.turn(turn));
         if let Some(entry) = entry {
             let result = entry.result.clone();
             cx.reply(call, Reply::Answer { turn, result, replayed: true });
@@ -160,7 +164,7 @@
     }
 
     pub(super) fn end(&mut self, cx: &mut Context<'_>, call: CallId, program: ProgramId) {
-        if !self.tenure.is_owning() {
+        if !self.ownership.is_owning() {
             cx.refuse(call, Refusal::not_run(RefusalReason::NotOwner).retry_after(0));
             return;
         }
@@ -169,7 +173,7 @@
     }
 
     pub(super) fn push_end(&mut self, program: ProgramId) {
-        if let Some(epoch) = self.tenure.epoch() {
+        if let Some(epoch) = self.ownership.epoch() {
             self.log.outbox.push(Record::Ended { program, epoch });
         }
     }
@@ -186,7 +190,7 @@
     pub(super) fn next_attempt(&mut self) -> AttemptId {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let epoch = self.tenure.epoch().unwrap_or_default();
+        let epoch = self.ownership.epoch().unwrap_or_default();
         AttemptId { shard: self.shard, epoch, sequence }
     }
 
@@ -196,14 +200,14 @@
         request: &TurnRequest,
         avoid: Option<&VmName>,
     ) -> Result<EndpointRef, PlaceRefusal> {
-        let standing = cx.env.standing(&request.program.workspace, &request.digest);
+        let crash_status = cx.env.crash_status(&request.program.workspace, &request.digest);
         cx.env.place(&PlaceRequest {
             program: &request.program,
             target: request.work.target(),
             digest: &request.digest,
             weight: request.weight,
-            is_first: self.fold.program(&request.program).is_none_or(|s| s.turn_count == 0),
-            is_suspect: standing != Standing::Clear,
+            is_first: self.shard_state.program(&request.program).is_none_or(|s| s.turn_count == 0),
+            is_suspect: crash_status != CrashStatus::Clear,
             avoid,
         })
     }
@@ -214,12 +218,12 @@
             active.waiters.iter().for_each(|waiter| cx.refuse(waiter.call, refusal));
             cx.out.push(Action::Cancel { attempt: active.attempt, endpoint: active.endpoint });
         }
-        cx.out.push(Action::Free { program: program.clone() });
+        cx.out.push(Action::FreeCache { program: program.clone() });
     }
 }
 
 /// The record that announces an active turn's newest attempt.
-pub(super) fn intent_record(program: &ProgramId, active: &Active) -> Record {
+pub(super) fn intent_record(program: &ProgramId, active: &ActiveTurn) -> Record {
     Record::Intent(IntentRecord {
         program: program.clone(),
         turn: active.turn,
@@ -238,7 +242,7 @@
     if state.ended.is_some() {
         return Some(Verdict::Refuse(refusal_after_end(state, request)));
     }
-    if state.damaged {
+    if state.has_history_gap {
         return Some(Verdict::Refuse(Refusal::not_run(Why::HistoryGap)));
     }
     let by_key = request.idempotency_key.as_deref().and_then(|key| state.turn_by_key(key));
@@ -254,14 +258,14 @@
 fn refusal_after_end(state: &ProgramState, request: &TurnRequest) -> Refusal {
     let reason = RefusalReason::ProgramEnded;
     let ran = match request.turn {
-        Some(turn) if turn.0 > state.turn_count => Ran::NotRun,
-        Some(_) => Ran::Ran,
-        None => Ran::Unknown,
+        Some(turn) if turn.0 > state.turn_count => ExecutionStatus::NotRun,
+        Some(_) => ExecutionStatus::Ran,
+        None => ExecutionStatus::Unknown,
     };
     Refusal { ran, reason, retry_after_ms: None }
 }
 
-fn active_verdict(active: &Active, request: &TurnRequest) -> Verdict {
+fn active_verdict(active: &ActiveTurn, request: &TurnRequest) -> Verdict {
     use RefusalReason as Why;
     let same_digest = active.digest == request.digest;
     let same_key =
--- a/src/programs/owner/upkeep.rs
+++ b/src/programs/owner/upkeep.rs
@@ -12,7 +12,7 @@
         self.refuse_expired(cx);
         self.refuse_parked_expired(cx);
         self.go_on(cx);
-        if self.tenure.is_owning() {
+        if self.ownership.is_owning() {
             self.snapshot_old(cx);
             self.end_idle(cx);
         }
@@ -56,7 +56,7 @@
                 continue;
             };
             match phase {
-                Phase::Asking { next_ms, unanswered } if next_ms <= cx.now => {
+                Phase::AwaitingReport { next_query_at, unanswered } if next_query_at <= cx.now => {
                     self.ask(cx, &program, unanswered);
                 }
                 Phase::BackingOff { until } if until <= cx.now => {
@@ -75,10 +75,12 @@
         let age_ms = self.limits.snapshot_age_ms;
         let due = |id: &ProgramId, state: &ProgramState| {
             let over = state.ended.is_some_and(|at| cx.unix.since(at) > self.limits.tombstone_ms);
-            !self.active.contains_key(id) && !over && cx.unix.since(state.oldest) >= age_ms
+            !self.active.contains_key(id)
+                && !over
+                && cx.unix.since(state.oldest_record_time) >= age_ms
         };
         let old: Vec<ProgramId> = self
-            .fold
+            .shard_state
             .programs()
             .filter(|(id, state)| due(id, state))
             .map(|(id, _)| id.clone())
@@ -95,17 +97,18 @@
         }
         let idle_ms = self.limits.program_idle_ms;
         let idle = |id: &ProgramId, state: &ProgramState| {
-            let quiet = cx.unix.since(state.newest) >= idle_ms && !self.active.contains_key(id);
+            let quiet =
+                cx.unix.since(state.newest_record_time) >= idle_ms && !self.active.contains_key(id);
             quiet && state.ended.is_none()
         };
         let over: Vec<ProgramId> = self
-            .fold
+            .shard_state
             .programs()
             .filter(|(id, state)| idle(id, state))
             .map(|(id, _)| id.clone())
             .collect();
         over.into_iter().for_each(|id| self.push_end(id));
         let kept_since = UnixMs(cx.unix.0.saturating_sub(self.limits.tombstone_ms));
-        self.fold.forget_ended(kept_since);
+        self.shard_state.remove_ended(kept_since);
     }
 }
--- a/src/programs/tenure.rs
+++ b/src/programs/ownership.rs
@@ -4,7 +4,7 @@
 
 /// What moves an entry's tenure of one shard.
 #[key]
-pub enum TenureEvent {
+pub enum OwnershipEvent {
     /// The entry wants the shard.
     Claim,
     /// Its own claim was read from the log.
@@ -14,62 +14,64 @@
     /// A claim of another was read.
     OtherClaimRead,
     /// It wants to give the shard up once nothing is under way.
-    HandOver,
+    Release,
     /// Its own release was read.
     ReleaseRead,
 }
 
 /// The life of one entry's ownership of one shard.
 #[derive(Debug, Default)]
-pub struct TenureMachine;
+pub struct OwnershipMachine;
 
 #[state_machine(initial = "State::idle()", state(derive(Debug, Clone, Copy, PartialEq, Eq)))]
-impl TenureMachine {
+impl OwnershipMachine {
     #[state]
-    fn idle(event: &TenureEvent) -> Outcome<State> {
+    fn idle(event: &OwnershipEvent) -> Outcome<State> {
         match event {
-            TenureEvent::Claim => Transition(State::claiming()),
+            OwnershipEvent::Claim => Transition(State::claiming()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn claiming(event: &TenureEvent) -> Outcome<State> {
+    fn claiming(event: &OwnershipEvent) -> Outcome<State> {
         match event {
-            TenureEvent::ClaimRead(epoch) => Transition(State::recovering(*epoch)),
+            OwnershipEvent::ClaimRead(epoch) => Transition(State::recovering(*epoch)),
             _ => Handled,
         }
     }
 
     #[state]
-    fn recovering(epoch: &Epoch, event: &TenureEvent) -> Outcome<State> {
+    fn recovering(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         match event {
-            TenureEvent::CaughtUp => Transition(State::owning(*epoch)),
-            TenureEvent::OtherClaimRead => Transition(State::lost()),
+            OwnershipEvent::CaughtUp => Transition(State::owning(*epoch)),
+            OwnershipEvent::OtherClaimRead => Transition(State::lost()),
             _ => Handled,
         }
     }
 
     #[state]
-    fn owning(epoch: &Epoch, event: &TenureEvent) -> Outcome<State> {
+    fn owning(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         match event {
-            TenureEvent::OtherClaimRead => Transition(State::lost()),
-            TenureEvent::HandOver => Transition(State::leaving(*epoch)),
+            OwnershipEvent::OtherClaimRead => Transition(State::lost()),
+            OwnershipEvent::Release => Transition(State::leaving(*epoch)),
             _ => Handled,
         }
     }
 
     #[state]
-    fn leaving(epoch: &Epoch, event: &TenureEvent) -> Outcome<State> {
+    fn leaving(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         let _ = epoch;
         match event {
-            TenureEvent::OtherClaimRead | TenureEvent::ReleaseRead => Transition(State::lost()),
+            OwnershipEvent::OtherClaimRead | OwnershipEvent::ReleaseRead => {
+                Transition(State::lost())
+            }
             _ => Handled,
         }
     }
 
     #[state]
-    fn lost(event: &TenureEvent) -> Outcome<State> {
+    fn lost(event: &OwnershipEvent) -> Outcome<State> {
         let _ = event;
         Handled
     }
@@ -77,21 +79,21 @@
 
 /// An entry's ownership of one shard, from the claim to its loss. A lost tenure stays lost: the
 /// entry starts another, with another claim.
-pub struct Tenure(statig::blocking::StateMachine<TenureMachine>);
+pub struct ShardOwnership(statig::blocking::StateMachine<OwnershipMachine>);
 
-impl Tenure {
+impl ShardOwnership {
     /// A tenure that has not been claimed.
-    pub fn new() -> Tenure {
-        Tenure(TenureMachine.state_machine())
+    pub fn new() -> ShardOwnership {
+        ShardOwnership(OwnershipMachine.state_machine())
     }
 
     /// Moves it.
-    pub fn handle(&mut self, event: TenureEvent) {
+    pub fn handle(&mut self, event: OwnershipEvent) {
         self.0.handle(&event);
     }
 
     /// Whether nothing was claimed yet.
-    pub fn is_idle(&self) -> bool {
+    pub fn is_unclaimed(&self) -> bool {
         matches!(self.0.state(), State::Idle {})
     }
 
@@ -116,7 +118,7 @@
     }
 
     /// Whether it is being given up.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_releasing(&self) -> bool {
         matches!(self.0.state(), State::Leaving { .. })
     }
 
@@ -126,8 +128,8 @@
     }
 }
 
-impl Default for Tenure {
-    fn default() -> Tenure {
-        Tenure::new()
+impl Default for ShardOwnership {
+    fn default() -> ShardOwnership {
+        ShardOwnership::new()
     }
 }
--- a/src/programs/record.rs
+++ b/src/programs/record.rs
@@ -1,5 +1,5 @@
 use crate::prelude::*;
-use crate::programs::{Message, TurnEntry, TurnResult};
+use crate::programs::{FinishedTurn, Message, TurnResult};
 
 /// A record as the log holds it.
 #[wire]
@@ -110,7 +110,7 @@
     /// The program.
     pub program: ProgramId,
     /// Its finished turns.
-    pub turns: Vec<TurnEntry>,
+    pub turns: Vec<FinishedTurn>,
     /// Number of finished turns, which outlives the turns of an ended program.
     pub turn_count: u32,
     /// Tokens charged so far.
--- a/src/programs/state.rs
+++ b/src/programs/state.rs
@@ -3,7 +3,7 @@
 
 /// A finished turn.
 #[wire]
-pub struct TurnEntry {
+pub struct FinishedTurn {
     /// Digest of the call.
     pub digest: Digest,
     /// The caller's key, if it gave one.
@@ -18,23 +18,23 @@
 #[value]
 pub struct ProgramState {
     /// Finished turns, in order; emptied when the program ends.
-    pub turns: Vec<TurnEntry>,
+    pub turns: Vec<FinishedTurn>,
     /// Number of finished turns.
     pub turn_count: u32,
     /// Tokens charged to this program.
     pub spent_tokens: u64,
     /// The attempt under way.
-    pub open: Option<IntentRecord>,
+    pub open_intent: Option<IntentRecord>,
     /// The newest attempt that was ever opened.
     pub last_attempt: Option<AttemptId>,
     /// When it ended.
     pub ended: Option<UnixMs>,
     /// Whether records before the ones that were read are missing.
-    pub damaged: bool,
+    pub has_history_gap: bool,
     /// Time of the oldest record that is still needed.
-    pub oldest: UnixMs,
+    pub oldest_record_time: UnixMs,
     /// Time of the newest record.
-    pub newest: UnixMs,
+    pub newest_record_time: UnixMs,
 }
 
 impl ProgramState {
@@ -44,12 +44,12 @@
             turns: Vec::new(),
             turn_count: 0,
             spent_tokens: 0,
-            open: None,
+            open_intent: None,
             last_attempt: None,
             ended: None,
-            damaged: false,
-            oldest: time,
-            newest: time,
+            has_history_gap: false,
+            oldest_record_time: time,
+            newest_record_time: time,
         }
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// The finished turn with this number.
-    pub fn turn(&self, turn: TurnNo) -> Option<&TurnEntry> {
+    pub fn turn(&self, turn: TurnNo) -> Option<&FinishedTurn> {
         self.turns.get((turn.0 as usize).checked_sub(1)?)
     }
 
     /// The finished turn that was called with this idempotency key, and its number.
-    pub fn turn_by_key(&self, key: &str) -> Option<(TurnNo, &TurnEntry)> {
+    pub fn turn_by_key(&self, key: &str) -> Option<(TurnNo, &FinishedTurn)> {
         let index = self.turns.iter().position(|t| t.idempotency_key.as_deref() == Some(key))?;
         Some((TurnNo(index as u32 + 1), &self.turns[index]))
     }
@@ -76,25 +76,25 @@
 
     /// Tokens reserved by the attempt under way.
     pub fn reserved_tokens(&self) -> u64 {
-        self.open.as_ref().map_or(0, |open| open.reserve_tokens)
+        self.open_intent.as_ref().map_or(0, |open| open.reserve_tokens)
     }
 
     /// Whether this attempt is the one under way.
     pub fn is_open(&self, attempt: AttemptId) -> bool {
-        self.open.as_ref().is_some_and(|open| open.attempt == attempt)
+        self.open_intent.as_ref().is_some_and(|open| open.attempt == attempt)
     }
 
     /// Charges the attempt under way and closes it.
     pub fn settle(&mut self, charge_tokens: u64) {
         self.spent_tokens += charge_tokens;
-        self.open = None;
+        self.open_intent = None;
     }
 
     /// Adds a finished turn.
     pub fn finish_turn(&mut self, outcome: &OutcomeRecord) {
         self.settle(outcome.charge_tokens);
         self.turn_count += 1;
-        self.turns.push(TurnEntry {
+        self.turns.push(FinishedTurn {
             digest: outcome.digest,
             idempotency_key: outcome.idempotency_key.clone(),
             messages: outcome.messages.clone(),
@@ -117,7 +117,7 @@
             turns: self.turns.clone(),
             turn_count: self.turn_count,
             spent_tokens: self.spent_tokens,
-            open: self.open.clone(),
+            open: self.open_intent.clone(),
             last_attempt: self.last_attempt,
             ended: self.ended,
         }
@@ -129,17 +129,17 @@
             turns: snapshot.turns.clone(),
             turn_count: snapshot.turn_count,
             spent_tokens: snapshot.spent_tokens,
-            open: snapshot.open.clone(),
+            open_intent: snapshot.open.clone(),
             last_attempt: snapshot.last_attempt,
             ended: snapshot.ended,
-            damaged: false,
-            oldest: time,
-            newest: time,
+            has_history_gap: false,
+            oldest_record_time: time,
+            newest_record_time: time,
         }
     }
 }
 
-fn turn_messages(turn: &TurnEntry) -> Vec<Message> {
+fn turn_messages(turn: &FinishedTurn) -> Vec<Message> {
     let mut messages = turn.messages.clone();
     if let TurnResult::Answered { text, .. } = &turn.result {
         messages.push(Message::text("assistant", text));
@@ -171,7 +171,7 @@
     }
 
     /// Whether `tokens` more fit under `budget_tokens`.
-    pub fn covers(&self, tokens: u64, budget_tokens: u64) -> bool {
+    pub fn can_reserve(&self, tokens: u64, budget_tokens: u64) -> bool {
         self.spent_tokens + self.reserved_tokens + tokens <= budget_tokens
     }
 }
--- a/src/programs/tests/callers.rs
+++ b/src/programs/tests/callers.rs
@@ -2,7 +2,9 @@
 
 use super::{model, program, request, service};
 use crate::prelude::*;
-use crate::programs::{CallId, Ran, Refusal, RefusalReason, Reply, TurnRequest, TurnResult, Work};
+use crate::programs::{
+    CallId, ExecutionStatus, Refusal, RefusalReason, Reply, TurnRequest, TurnResult, Work,
+};
 
 /// Turns of each program.
 pub const TURNS: u32 = 4;
@@ -138,7 +140,7 @@
             RefusalReason::BudgetExhausted => self.broke.push(program.clone()),
             _ => {}
         }
-        if refusal.ran != Ran::NotRun {
+        if refusal.ran != ExecutionStatus::NotRun {
             return None;
         }
         *self.maybe_run.get_mut(&key).unwrap() -= 1;
--- a/src/programs/tests/fake_log.rs
+++ b/src/programs/tests/fake_log.rs
@@ -1,5 +1,5 @@
 use crate::prelude::*;
-use crate::programs::{AppendedAt, ReadPage, Record, ShardFold, StoredRecord};
+use crate::programs::{AppendedAt, ReadPage, Record, ShardState, StoredRecord};
 
 /// One stream of a log, in memory.
 #[derive(Default)]
@@ -26,8 +26,8 @@
     }
 
     /// What the whole stream says.
-    pub fn fold(&self) -> ShardFold {
-        ShardFold::of_stream(Offset(self.earliest.max(1)), &self.records)
+    pub fn shard_state(&self) -> ShardState {
+        ShardState::from_records(Offset(self.earliest.max(1)), &self.records)
     }
 
     pub fn read(&self, from: Option<Offset>, limit: usize) -> ReadPage {
--- a/src/programs/tests/mod.rs
+++ b/src/programs/tests/mod.rs
@@ -1,8 +1,8 @@
 mod callers;
 mod fake_log;
-mod fold;
 mod properties;
 mod replay;
+mod shard_state;
 mod world;
 
 use crate::prelude::*;
--- a/src/programs/tests/replay.rs
+++ b/src/programs/tests/replay.rs
@@ -6,7 +6,7 @@
 use super::program;
 use super::world::World;
 use crate::prelude::*;
-use crate::programs::{Ran, TurnResult};
+use crate::programs::{ExecutionStatus, TurnResult};
 
 const ROUND_MS: u64 = 30;
 
@@ -73,9 +73,9 @@
             let refusal = world.callers.last_refusal.get(&key(&[name, turn]));
             let refusal = refusal.unwrap_or_else(|| panic!("{line}: not refused"));
             let said = match refusal.ran {
-                Ran::NotRun => "not_run",
-                Ran::Ran => "ran",
-                Ran::Unknown => "unknown",
+                ExecutionStatus::NotRun => "not_run",
+                ExecutionStatus::Ran => "ran",
+                ExecutionStatus::Unknown => "unknown",
             };
             assert_eq!((refusal.reason.code(), said), (*code, *ran), "{line}");
         }
@@ -85,7 +85,7 @@
             assert_eq!(ran as u64, number(times), "{line}");
         }
         [name, "charged", tokens] => {
-            let account = world.log.fold().account(&program(name));
+            let account = world.log.shard_state().account(&program(name));
             assert_eq!(account.spent_tokens, number(tokens), "{line}");
         }
         ["appends", "at", "most", count] => {
--- a/src/programs/tests/fold.rs
+++ b/src/programs/tests/shard_state.rs
@@ -1,6 +1,6 @@
 use super::program;
 use crate::prelude::*;
-use crate::programs::{Applied, IntentRecord, Record, ShardFold, TurnEntry, TurnResult};
+use crate::programs::{ApplyOutcome, FinishedTurn, IntentRecord, Record, ShardState, TurnResult};
 use crate::programs::{OutcomeRecord, ProgramSnapshot};
 
 fn claim(nonce: u64) -> Record {
@@ -42,13 +42,13 @@
     })
 }
 
-fn fold(records: &[Record]) -> (ShardFold, Vec<Applied>) {
-    let mut fold = ShardFold::new();
+fn shard_state(records: &[Record]) -> (ShardState, Vec<ApplyOutcome>) {
+    let mut shard_state = ShardState::new();
     let applied = (1..)
         .zip(records)
-        .map(|(offset, record)| fold.apply(Offset(offset), UnixMs(offset * 10), record))
+        .map(|(offset, record)| shard_state.apply(Offset(offset), UnixMs(offset * 10), record))
         .collect();
-    (fold, applied)
+    (shard_state, applied)
 }
 
 /// An append of an intent was not answered and was sent again; the attempt was rejected and
@@ -58,10 +58,10 @@
 fn a_late_copy_of_a_settled_intent_does_not_open_it_again() {
     let first = attempt(1, 1);
     let records = [claim(1), intent("a", 1, first), settled("a", first), intent("a", 1, first)];
-    let (fold, applied) = fold(&records);
-    assert_eq!(applied[3], Applied::Void);
-    assert_eq!(fold.program(&program("a")).unwrap().open, None);
-    assert_eq!(fold.account(&program("a")).reserved_tokens, 0);
+    let (shard_state, applied) = shard_state(&records);
+    assert_eq!(applied[3], ApplyOutcome::Ignored);
+    assert_eq!(shard_state.program(&program("a")).unwrap().open_intent, None);
+    assert_eq!(shard_state.account(&program("a")).reserved_tokens, 0);
 }
 
 /// A paused owner wakes up after its successor's claim and appends an outcome. It is void for
@@ -77,16 +77,16 @@
         intent("a", 1, new),
         outcome("a", 1, new),
     ];
-    let (fold, applied) = fold(&records);
-    assert_eq!(applied[3], Applied::Void);
-    assert_eq!(applied[5], Applied::Counted);
-    let state = fold.program(&program("a")).unwrap();
+    let (shard_state, applied) = shard_state(&records);
+    assert_eq!(applied[3], ApplyOutcome::Ignored);
+    assert_eq!(applied[5], ApplyOutcome::Accepted);
+    let state = shard_state.program(&program("a")).unwrap();
     // The attempt that was never settled is charged in full, the other as it was.
     assert_eq!((state.turn_count, state.spent_tokens), (1, 10));
 }
 
 fn snapshot(name: &str, turns: u32) -> Record {
-    let entry = TurnEntry {
+    let entry = FinishedTurn {
         digest: Digest::of(&[]),
         idempotency_key: None,
         messages: Vec::new(),
@@ -119,9 +119,9 @@
         outcome("a", 2, second),
         snapshot("a", 1),
     ];
-    let (fold, applied) = fold(&records);
-    assert_eq!(applied[5], Applied::Void);
-    assert_eq!(fold.program(&program("a")).unwrap().turn_count, 2);
+    let (shard_state, applied) = shard_state(&records);
+    assert_eq!(applied[5], ApplyOutcome::Ignored);
+    assert_eq!(shard_state.program(&program("a")).unwrap().turn_count, 2);
 }
 
 /// Retention has passed over a program's first turns. Without a snapshot its history has a gap,
@@ -135,16 +135,16 @@
             time_ms: UnixMs(offset),
             data,
         });
-        ShardFold::of_stream(Offset(20), &stored.collect::<Vec<_>>())
+        ShardState::from_records(Offset(20), &stored.collect::<Vec<_>>())
     };
     let gap = vec![intent("a", 3, third), outcome("a", 3, third)];
-    let damaged = stored(gap.clone());
-    assert!(damaged.program(&program("a")).unwrap().damaged);
+    let has_history_gap = stored(gap.clone());
+    assert!(has_history_gap.program(&program("a")).unwrap().has_history_gap);
     let filled = stored([gap.clone(), vec![snapshot("a", 3)]].concat());
     let state = filled.program(&program("a")).unwrap();
-    assert!(!state.damaged && state.turn_count == 3 && state.turns.len() == 3);
+    assert!(!state.has_history_gap && state.turn_count == 3 && state.turns.len() == 3);
     let outdated = stored([gap, vec![snapshot("a", 2)]].concat());
-    assert!(outdated.program(&program("a")).unwrap().damaged);
+    assert!(outdated.program(&program("a")).unwrap().has_history_gap);
 }
 
 /// The claim in force where the retained records begin has expired with them. Records name its
@@ -158,7 +158,7 @@
         time_ms: UnixMs(offset),
         data,
     });
-    let fold = ShardFold::of_stream(Offset(20), &stored);
-    assert_eq!(fold.epoch(), Epoch(7));
-    assert_eq!(fold.program(&program("a")).unwrap().spent_tokens, 0);
+    let shard_state = ShardState::from_records(Offset(20), &stored);
+    assert_eq!(shard_state.epoch(), Epoch(7));
+    assert_eq!(shard_state.program(&program("a")).unwrap().spent_tokens, 0);
 }
--- a/src/programs/tests/world/endpoints.rs
+++ b/src/programs/tests/world/endpoints.rs
@@ -2,13 +2,13 @@
 //! order, history and at-most-once hold.
 
 use super::{Message, World};
-use crate::endpoint::{DeskAction, Submission};
+use crate::endpoint::{SchedulerAction, Submission};
 use crate::prelude::*;
 use crate::programs::tests::LIMITS;
 use crate::programs::tests::callers::Callers;
 use crate::programs::{
-    Attempt, AttemptFrame, AttemptReport, AttemptWork, CallId, Event, FailureCause, Finish, Reply,
-    TurnResult, Usage,
+    Attempt, AttemptFrame, AttemptReport, AttemptWork, CallId, Event, FailureCause, FinishReason,
+    Reply, TurnResult, Usage,
 };
 
 impl World {
@@ -16,11 +16,11 @@
         let id = attempt.id;
         let target = self.endpoints.iter().position(|e| e.me.vm == attempt.target.vm).unwrap();
         let endpoint = &mut self.endpoints[target];
-        match endpoint.desk.submit(TimeMs(self.now), attempt) {
-            Submission::Taken => {
+        match endpoint.scheduler.submit(TimeMs(self.now), attempt) {
+            Submission::Accepted => {
                 endpoint.listeners.insert(id, nonce);
-                let actions = endpoint.desk.proceed(TimeMs(self.now));
-                self.desk_actions(target, actions);
+                let actions = endpoint.scheduler.schedule(TimeMs(self.now));
+                self.scheduler_actions(target, actions);
             }
             Submission::Rejected => {
                 let cause = FailureCause::Rejected;
@@ -29,7 +29,8 @@
                 self.net.push(Message::Owner { nonce, event });
             }
             Submission::Duplicate => {
-                self.net.push(Message::Owner { nonce, event: Event::Lost { attempt: id } });
+                self.net
+                    .push(Message::Owner { nonce, event: Event::ConnectionLost { attempt: id } });
             }
         }
     }
@@ -41,16 +42,16 @@
         epoch: Epoch,
     ) -> AttemptReport {
         let endpoint = self.endpoints.iter_mut().find(|e| e.me.vm == at.vm).unwrap();
-        endpoint.desk.ask(attempt, at.instance, epoch)
+        endpoint.scheduler.query(attempt, at.instance, epoch)
     }
 
-    pub(super) fn desk_actions(&mut self, index: usize, actions: Vec<DeskAction>) {
+    pub(super) fn scheduler_actions(&mut self, index: usize, actions: Vec<SchedulerAction>) {
         for action in actions {
             match action {
-                DeskAction::Start(attempt) => self.start(index, attempt),
-                DeskAction::End(attempt, frame) => self.frame(index, attempt, frame),
-                DeskAction::Stop(id) => self.stop(index, id),
-                DeskAction::FreeCache(_) => {}
+                SchedulerAction::Start(attempt) => self.start(index, attempt),
+                SchedulerAction::End(attempt, frame) => self.frame(index, attempt, frame),
+                SchedulerAction::Stop(id) => self.stop(index, id),
+                SchedulerAction::FreeCache(_) => {}
             }
         }
     }
@@ -81,10 +82,10 @@
     /// The conversation that the model must see in a turn, by what the log says of the turns
     /// before it.
     fn recorded_history(&self, program: &ProgramId, turn: u32) -> Vec<crate::programs::Message> {
-        let fold = self.log.fold();
+        let shard_state = self.log.shard_state();
         let mut history = Vec::new();
         for earlier in 1..turn {
-            let state = fold.program(program);
+            let state = shard_state.program(program);
             let recorded = state.and_then(|state| state.turn(TurnNo(earlier)));
             let Some(recorded) = recorded else {
                 panic!("{program} turn {turn} runs before turn {earlier} has ended");
@@ -104,8 +105,8 @@
             return;
         };
         if let Some(program) = self.callers.program_of(call) {
-            let fold = self.log.fold();
-            let recorded = fold.program(&program).and_then(|state| state.turn(*turn));
+            let shard_state = self.log.shard_state();
+            let recorded = shard_state.program(&program).and_then(|state| state.turn(*turn));
             assert_eq!(recorded.map(|entry| &entry.result), Some(result), "not what is recorded");
         }
     }
@@ -151,10 +152,10 @@
     }
 
     fn end(&mut self, index: usize, id: AttemptId, frame: AttemptFrame) {
-        self.endpoints[index].desk.ended(TimeMs(self.now), id, frame.clone());
+        self.endpoints[index].scheduler.record_end(TimeMs(self.now), id, frame.clone());
         self.frame(index, id, frame);
-        let actions = self.endpoints[index].desk.proceed(TimeMs(self.now));
-        self.desk_actions(index, actions);
+        let actions = self.endpoints[index].scheduler.schedule(TimeMs(self.now));
+        self.scheduler_actions(index, actions);
     }
 
     fn frame(&mut self, index: usize, attempt: AttemptId, frame: AttemptFrame) {
@@ -187,7 +188,7 @@
     match &attempt.work {
         AttemptWork::Model { resume_text, .. } => TurnResult::Answered {
             text: format!("{resume_text}{}", words.concat()).into(),
-            finish: Finish::Stop,
+            finish: FinishReason::Stop,
             usage: Usage { prompt_tokens: 1, completion_tokens: words.len() as u64 },
         },
         AttemptWork::Service { body, .. } => {
--- a/src/programs/tests/world/mod.rs
+++ b/src/programs/tests/world/mod.rs
@@ -6,11 +6,11 @@
 use super::callers::{Callers, TURNS};
 use super::fake_log::FakeLog;
 use super::vm;
-use crate::endpoint::{Desk, DeskLimits, OrderPolicy};
+use crate::endpoint::{AttemptScheduler, OrderPolicy, SchedulerLimits};
 use crate::prelude::*;
 use crate::programs::{
-    Action, Attempt, CallId, Event, Limits, PlaceRefusal, PlaceRequest, Record, Reply, ShardOwner,
-    Standing, Surroundings,
+    Action, Attempt, CallId, CrashStatus, Event, OwnerEnvironment, OwnerLimits, PlaceRefusal,
+    PlaceRequest, Record, Reply, ShardOwner,
 };
 
 const SHARD: ShardId = ShardId(0);
@@ -42,7 +42,7 @@
 }
 
 struct Endpoint {
-    desk: Desk,
+    scheduler: AttemptScheduler,
     me: EndpointRef,
     running: Vec<(Attempt, usize)>,
     /// To which owner the frames of an attempt go; gone once the connection broke.
@@ -71,7 +71,7 @@
 
 struct Place<'a>(&'a [Endpoint], usize, bool);
 
-impl Surroundings for Place<'_> {
+impl OwnerEnvironment for Place<'_> {
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal> {
         let usable = |e: &&Endpoint| Some(&e.me.vm) != request.avoid;
         let usable: Vec<&Endpoint> = self.0.iter().filter(usable).collect();
@@ -79,17 +79,17 @@
         chosen.map(|endpoint| endpoint.me.clone()).ok_or(PlaceRefusal::NoEndpoint)
     }
 
-    fn standing(&self, _: &WorkspaceId, _: &Digest) -> Standing {
-        Standing::Clear
+    fn crash_status(&self, _: &WorkspaceId, _: &Digest) -> CrashStatus {
+        CrashStatus::Clear
     }
 
-    fn crashed(&mut self, _: &WorkspaceId, _: &Digest, _: Crash) {}
+    fn record_crash(&mut self, _: &WorkspaceId, _: &Digest, _: Crash) {}
 
-    fn cleared(&mut self, _: &WorkspaceId, _: &Digest) {}
+    fn clear_suspect(&mut self, _: &WorkspaceId, _: &Digest) {}
 
-    fn succeeded(&mut self, _: &WorkspaceId) {}
+    fn record_success(&mut self, _: &WorkspaceId) {}
 
-    fn take_retry(&mut self, _: &WorkspaceId) -> bool {
+    fn try_acquire_retry(&mut self, _: &WorkspaceId) -> bool {
         true
     }
 
@@ -103,12 +103,12 @@
     }
 }
 
-fn limits() -> Limits {
-    Limits {
+fn limits() -> OwnerLimits {
+    OwnerLimits {
         snapshot_age_ms: 10_000,
         program_idle_ms: 1 << 40,
         tombstone_ms: 20_000,
-        ..Limits::default()
+        ..OwnerLimits::default()
     }
 }
 
@@ -137,14 +137,14 @@
     fn new_endpoint(&mut self, index: usize) -> Endpoint {
         self.next_nonce += 1;
         let me = EndpointRef { vm: vm(&format!("m{index}")), instance: Instance(self.next_nonce) };
-        let limits = DeskLimits {
+        let limits = SchedulerLimits {
             concurrency: 2,
             queue: 16,
             cache_lease_ms: CACHE_LEASE_MS,
             finished_bytes: 400,
         };
-        let desk = Desk::new(me.clone(), limits, OrderPolicy::FairThenAttained);
-        Endpoint { desk, me, running: Vec::new(), listeners: HashMap::new() }
+        let scheduler = AttemptScheduler::new(me.clone(), limits, OrderPolicy::FairThenAttained);
+        Endpoint { scheduler, me, running: Vec::new(), listeners: HashMap::new() }
     }
 
     /// Does one step. Kinds are weighted towards plain progress.
@@ -215,7 +215,7 @@
         for program in &self.callers.programs {
             let current = self.callers.current(program);
             let owners = self.entries.iter().filter_map(|entry| entry.owner.as_ref());
-            let active: Vec<_> = owners.flat_map(|owner| owner.active()).collect();
+            let active: Vec<_> = owners.flat_map(|owner| owner.active_turns()).collect();
             assert!(
                 self.callers.is_done(program),
                 "{program} is stuck at turn {current}: {:?}, {active:?}",
@@ -260,7 +260,7 @@
             self.endpoints[index].listeners.iter().map(|(id, nonce)| (*id, *nonce)).collect();
         self.endpoints[index] = self.new_endpoint(index);
         for (attempt, nonce) in lost {
-            self.net.push(Message::Owner { nonce, event: Event::Lost { attempt } });
+            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
         }
     }
 
@@ -272,7 +272,7 @@
             _ => None,
         });
         if let Some((nonce, attempt)) = submits.next_back().filter(|_| arg.is_multiple_of(2)) {
-            self.net.push(Message::Owner { nonce, event: Event::Lost { attempt } });
+            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
             return;
         }
         let endpoint = &mut self.endpoints[arg % 2];
@@ -282,7 +282,7 @@
             return;
         };
         if let Some(nonce) = endpoint.listeners.remove(&attempt) {
-            self.net.push(Message::Owner { nonce, event: Event::Lost { attempt } });
+            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
         }
     }
 
@@ -326,8 +326,8 @@
         self.now += ms;
         (0..2).for_each(|index| self.handle(index, Event::Tick));
         for index in 0..2 {
-            let actions = self.endpoints[index].desk.proceed(TimeMs(self.now));
-            self.desk_actions(index, actions);
+            let actions = self.endpoints[index].scheduler.schedule(TimeMs(self.now));
+            self.scheduler_actions(index, actions);
         }
     }
 
@@ -343,7 +343,7 @@
         };
         let mut place = Place(&self.endpoints, self.now as usize / 7, self.paced);
         let actions = owner.handle(now, unix, event, &mut place);
-        if owner.tenure().is_lost() {
+        if owner.ownership().is_lost() {
             entry.owner = None;
         }
         actions.into_iter().for_each(|action| self.carry_out(nonce, action));
@@ -354,12 +354,12 @@
             Action::Append(records) => Message::Append { nonce, records },
             Action::Read(from) => Message::Read { nonce, from },
             Action::Dispatch(attempt) => Message::Submit { nonce, attempt },
-            Action::Ask { attempt, endpoint, epoch } => {
+            Action::QueryAttempt { attempt, endpoint, epoch } => {
                 Message::Ask { nonce, attempt, endpoint, epoch }
             }
             Action::Reply { call, reply } => Message::Reply { call, reply },
             // The tick wakes it up just as well.
-            Action::Wake { .. } | Action::Cancel { .. } | Action::Free { .. } => return,
+            Action::Wake { .. } | Action::Cancel { .. } | Action::FreeCache { .. } => return,
         };
         self.net.push(message);
     }
--- a/src/programs/tests/world/network.rs
+++ b/src/programs/tests/world/network.rs
@@ -3,7 +3,7 @@
 
 use super::{Message, PAGE, World};
 use crate::prelude::*;
-use crate::programs::{AppendError, Event, Record};
+use crate::programs::{Event, LogCallError, Record};
 
 impl World {
     pub(super) fn deliver_all(&mut self) {
@@ -43,7 +43,7 @@
             Message::Append { nonce, records } => self.append(nonce, records),
             Message::Read { nonce, from } => {
                 let page = match self.log.out {
-                    true => Err(AppendError::Unavailable),
+                    true => Err(LogCallError::Unavailable),
                     false => Ok(self.log.read(from, PAGE)),
                 };
                 self.net.push(Message::Owner { nonce, event: Event::Read(page) });
@@ -73,14 +73,14 @@
 
     fn append(&mut self, nonce: u64, records: Vec<Record>) {
         let result = if self.log.out {
-            Err(AppendError::Unavailable)
+            Err(LogCallError::Unavailable)
         } else if self.delay_next_append.take().is_some() {
             self.delayed.push(records);
-            Err(AppendError::NoAnswer)
+            Err(LogCallError::NoAnswer)
         } else {
             let at = self.log.append(self.now, &records);
             match std::mem::take(&mut self.lose_next_append) {
-                true => Err(AppendError::NoAnswer),
+                true => Err(LogCallError::NoAnswer),
                 false => Ok(at),
             }
         };
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -6,7 +6,7 @@
 mod view;
 
 pub use retries::RetryBudget;
-pub use router::{Router, RoutingPolicy, Shedding};
+pub use router::{Router, RoutingPolicy, SheddingPolicy};
 pub use shares::ProgramShares;
 pub use view::EndpointView;
 
--- a/src/routing/retries.rs
+++ b/src/routing/retries.rs
@@ -20,7 +20,7 @@
 
 impl RetryBudget {
     /// Counts an attempt that succeeded.
-    pub fn succeeded(&mut self, workspace: &WorkspaceId) {
+    pub fn record_success(&mut self, workspace: &WorkspaceId) {
         if let Some(spent) = self.spent_milli.get_mut(workspace) {
             *spent = spent.saturating_sub(EARNED_MILLI);
             if *spent == 0 {
@@ -30,7 +30,7 @@
     }
 
     /// Takes one retry, if the workspace has one left.
-    pub fn take(&mut self, workspace: &WorkspaceId) -> bool {
+    pub fn try_acquire(&mut self, workspace: &WorkspaceId) -> bool {
         let spent = self.spent_milli.entry(workspace.clone()).or_default();
         let has_one = *spent + COST_MILLI <= SAVED_MILLI;
         if has_one {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -22,7 +22,7 @@
 /// What is refused when calls would wait too long. The baselines stay for comparison.
 #[value]
 #[derive(Copy)]
-pub enum Shedding {
+pub enum SheddingPolicy {
     /// Nothing.
     None,
     /// Programs that have not begun.
@@ -52,7 +52,7 @@
 /// Chooses endpoints.
 pub struct Router {
     policy: RoutingPolicy,
-    shedding: Shedding,
+    shedding: SheddingPolicy,
     shares: ProgramShares,
     turn: usize,
     random: u64,
@@ -65,7 +65,7 @@
     pub fn new(policy: RoutingPolicy, seed: u64) -> Router {
         Router {
             policy,
-            shedding: Shedding::Fair,
+            shedding: SheddingPolicy::Fair,
             shares: ProgramShares::default(),
             turn: 0,
             random: seed | 1,
@@ -75,7 +75,7 @@
     }
 
     /// The same router with another way of shedding.
-    pub fn with_shedding(self, shedding: Shedding) -> Router {
+    pub fn with_shedding(self, shedding: SheddingPolicy) -> Router {
         Router { shedding, ..self }
     }
 
@@ -100,11 +100,13 @@
         let chosen = match self.policy {
             RoutingPolicy::Random => self.pick_random(&candidates),
             RoutingPolicy::RoundRobin => self.pick_next(&candidates),
-            RoutingPolicy::LeastReported => candidates.iter().min_by_key(|v| v.reported).copied(),
+            RoutingPolicy::LeastReported => {
+                candidates.iter().min_by_key(|v| v.reported_load).copied()
+            }
             RoutingPolicy::CacheAffinity => self.pick_affine(now, request, &candidates),
         };
         let chosen = chosen.ok_or(PlaceRefusal::NoEndpoint)?;
-        if self.shedding != Shedding::None && self.is_overloaded(now, request, chosen) {
+        if self.shedding != SheddingPolicy::None && self.is_overloaded(now, request, chosen) {
             return Err(PlaceRefusal::Overloaded);
         }
         if request.is_first {
@@ -135,7 +137,7 @@
             return load >= (chosen.concurrency * LATER_CALL_ROOM).max(1);
         }
         let workspace = &request.program.workspace;
-        let is_fair = self.shedding == Shedding::Fair;
+        let is_fair = self.shedding == SheddingPolicy::Fair;
         let eighths = match is_fair && self.shares.is_above_share(now, workspace) {
             true => GREEDY_ROOM_EIGHTHS,
             false if is_fair => FIRST_CALL_ROOM_EIGHTHS,
@@ -145,7 +147,7 @@
     }
 
     /// Forgets a program that has ended; returns the endpoint that may hold its cache.
-    pub fn forget(&mut self, program: &ProgramId) -> Option<EndpointRef> {
+    pub fn remove_program(&mut self, program: &ProgramId) -> Option<EndpointRef> {
         self.last.remove(program)
     }
 
@@ -200,7 +202,8 @@
         loads: &[u32],
     ) -> Option<&'a EndpointView> {
         let ranked = candidates.iter().zip(loads);
-        let least = ranked.min_by_key(|(view, load)| (**load, !view.near, rank(request, view)));
+        let least =
+            ranked.min_by_key(|(view, load)| (**load, !view.in_same_domain, rank(request, view)));
         least.map(|(view, _)| *view)
     }
 
@@ -210,7 +213,7 @@
             |at: &&TimeMs| **at >= view.reported_at && now.since(**at) < DISPATCH_MEMORY_MS;
         let dispatched = self.dispatches.get(&view.endpoint);
         let unseen = dispatched.map_or(0, |times| times.iter().filter(recent).count());
-        view.reported + unseen as u32
+        view.reported_load + unseen as u32
     }
 
     fn remember(&mut self, now: TimeMs, program: &ProgramId, endpoint: &EndpointRef) {
@@ -227,7 +230,7 @@
 /// Orders endpoints in a way of its own for each call, the same on every entry.
 fn rank(request: &PlaceRequest<'_>, view: &EndpointView) -> u64 {
     // The finalizer of SplitMix64 (Steele et al., 2014): without it, near seeds rank alike.
-    let mixed = request.digest.prefix() ^ view.seed;
+    let mixed = request.digest.prefix() ^ view.vm_hash;
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -1,4 +1,4 @@
-use super::{EndpointView, ProgramShares, RetryBudget, Router, RoutingPolicy, Shedding};
+use super::{EndpointView, ProgramShares, RetryBudget, Router, RoutingPolicy, SheddingPolicy};
 use crate::prelude::*;
 use crate::programs::{PlaceRefusal, PlaceRequest};
 
@@ -6,12 +6,12 @@
     let view = |(index, load): (usize, &u32)| {
         let vm = VmName::parse(&format!("m{index}")).unwrap();
         EndpointView {
-            seed: EndpointView::seed_of(&vm),
+            vm_hash: EndpointView::vm_hash(&vm),
             endpoint: EndpointRef { vm, instance: Instance(1) },
-            reported: *load,
+            reported_load: *load,
             concurrency: 8,
             reported_at: TimeMs(0),
-            near: index == 0,
+            in_same_domain: index == 0,
         }
     };
     loads.iter().enumerate().map(view).collect()
@@ -107,7 +107,7 @@
 fn without_endpoints_there_is_no_place() {
     let mut calls = Calls::new();
     assert_eq!(calls.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
-    let blind = Router::new(RoutingPolicy::Random, 1).with_shedding(Shedding::None);
+    let blind = Router::new(RoutingPolicy::Random, 1).with_shedding(SheddingPolicy::None);
     calls.router = blind;
     assert_eq!(calls.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
 }
@@ -129,8 +129,8 @@
 fn retries_are_a_tenth_of_successes() {
     let mut budget = RetryBudget::default();
     let (failing, other) = (WorkspaceId::parse("f").unwrap(), WorkspaceId::parse("o").unwrap());
-    assert_eq!((0..100).filter(|_| budget.take(&failing)).count(), 10);
-    assert!(budget.take(&other));
-    (0..20).for_each(|_| budget.succeeded(&failing));
-    assert_eq!((0..100).filter(|_| budget.take(&failing)).count(), 2);
+    assert_eq!((0..100).filter(|_| budget.try_acquire(&failing)).count(), 10);
+    assert!(budget.try_acquire(&other));
+    (0..20).for_each(|_| budget.record_success(&failing));
+    assert_eq!((0..100).filter(|_| budget.try_acquire(&failing)).count(), 2);
 }
