--- a/src/admission/borrower.rs
+++ b/src/admission/borrower.rs
@@ -3,70 +3,75 @@
 use crate::admission::{BorrowRequest, Loan};
 use crate::prelude::*;
 
-/// What became of a call that asks to be let in.
+/// The result of asking to admit a call.
 #[value]
 #[derive(Copy)]
 pub enum AdmissionDecision {
-    /// It is in.
+    /// The call is admitted.
     Admitted,
-    /// The share is used up: ask the lender.
+    /// No borrowed call is left; a loan has to be requested from the lender.
     NeedsLoan,
-    /// The lender had none: come back after this time.
+    /// The lender recently had no calls to lend.
     Refused {
-        /// The time.
+        /// Time after which to retry.
         wait_ms: u64,
     },
 }
 
+/// The borrowed calls that this entry holds for one workspace, and the request in flight for more.
 #[derive(Default)]
 struct Share {
-    calls: u64,
-    expires: TimeMs,
+    unused_calls: u64,
+    expires_at: TimeMs,
     sequence: u64,
-    asked: Option<TimeMs>,
-    /// Calls used in the last whole period of counting, and in the one under way.
-    used_lately: u64,
-    used_now: u64,
-    counted_since: Option<TimeMs>,
+    requested_at: Option<TimeMs>,
+    /// Calls used in the last complete counting period, and in the current one.
+    used_last_period: u64,
+    used_this_period: u64,
+    period_started_at: Option<TimeMs>,
     refused_until: TimeMs,
 }
 
-/// The shares that one entry has borrowed.
+/// The calls that one entry has borrowed, by workspace.
 pub struct Borrower {
     instance: Instance,
-    stock_from_calls: u64,
+    min_calls_to_prefetch: u64,
     shares: HashMap<WorkspaceId, Share>,
 }
 
-/// Calls used between two questions from which on more are borrowed than wait. Below it each call
-/// asks: shares kept in stock at many entries are missing where the next call comes in.
+/// Calls used per counting period from which on an entry borrows more calls than are waiting.
+///
+/// Below this rate of use each call requests a loan of its own: unused calls that many entries hold
+/// in advance are not available at the entry that receives the next call.
 pub const MIN_CALLS_TO_PREFETCH: u64 = 16;
-/// Over what time the use of a share is counted.
-const COUNT_MS: u64 = 100;
-/// How long a stock is borrowed for.
-const STOCK_MS: u64 = 1_000;
-/// How long a share is borrowed for that waiting calls take at once. The lender has to count it
-/// as unused for so long; an answer that comes later is worth nothing.
-const CALL_MS: u64 = 60;
-/// A question without an answer for so long was lost.
-const ASK_AGAIN_MS: u64 = 400;
+/// Shortest counting period; it ends with the first request after this time.
+const COUNTING_PERIOD_MS: u64 = 100;
+/// Duration of a loan that includes calls borrowed in advance.
+const PREFETCH_LOAN_MS: u64 = 1_000;
+/// Duration of a loan that is used at once by the calls that wait for it.
+///
+/// It is short because the lender has to count the calls as unused until the loan expires. A reply
+/// that arrives after this time is useless.
+const ON_DEMAND_LOAN_MS: u64 = 60;
+/// Time without a reply after which a request counts as lost and another one may be sent.
+const REQUEST_TIMEOUT_MS: u64 = 400;
 
 impl Borrower {
-    /// A borrower without shares, which keeps a stock for workspaces that use `stock_from_calls`
-    /// or more in a tenth of a second.
-    pub fn new(instance: Instance, stock_from_calls: u64) -> Borrower {
-        Borrower { instance, stock_from_calls, shares: HashMap::new() }
+    /// Creates a borrower that holds no calls. It borrows in advance for workspaces that use
+    /// `min_calls_to_prefetch` calls or more in a counting period.
+    pub fn new(instance: Instance, min_calls_to_prefetch: u64) -> Borrower {
+        Borrower { instance, min_calls_to_prefetch, shares: HashMap::new() }
     }
 
-    /// Lets a call in if a share allows it.
+    /// Admits a call if a borrowed call is left.
     pub fn admit(&mut self, now: TimeMs, workspace: &WorkspaceId) -> AdmissionDecision {
         let share = self.shares.entry(workspace.clone()).or_default();
-        if share.expires <= now {
-            share.calls = 0;
+        if share.expires_at <= now {
+            share.unused_calls = 0;
         }
-        if share.calls > 0 {
-            share.calls -= 1;
-            share.used_now += 1;
+        if share.unused_calls > 0 {
+            share.unused_calls -= 1;
+            share.used_this_period += 1;
             return AdmissionDecision::Admitted;
         }
         match share.refused_until > now {
@@ -75,43 +80,52 @@
         }
     }
 
-    /// The question to send, unless one is under way: wanted is what was used since the last one
-    /// and the `waiting` calls.
+    /// Returns the loan request to send next, or `None` while one is in flight that has not timed
+    /// out.
+    ///
+    /// It asks for the `waiting` calls and, for a workspace in steady use, for half of the calls
+    /// used in the last counting period.
     pub fn next_request(
         &mut self,
         now: TimeMs,
         workspace: &WorkspaceId,
         waiting: u64,
     ) -> Option<BorrowRequest> {
-        let (instance, stock_from) = (self.instance, self.stock_from_calls);
+        let (instance, min_calls) = (self.instance, self.min_calls_to_prefetch);
         let share = self.shares.entry(workspace.clone()).or_default();
-        if share.asked.is_some_and(|at| now.since(at) < ASK_AGAIN_MS) {
+        if share.requested_at.is_some_and(|at| now.since(at) < REQUEST_TIMEOUT_MS) {
             return None;
         }
-        if share.expires <= now {
-            share.calls = 0;
+        if share.expires_at <= now {
+            share.unused_calls = 0;
         }
-        let lately_ms = share.counted_since.map_or(u64::MAX, |since| now.since(since));
-        if lately_ms >= COUNT_MS {
-            share.counted_since = Some(now);
-            share.used_lately = std::mem::take(&mut share.used_now);
+        let elapsed_ms = share.period_started_at.map_or(u64::MAX, |since| now.since(since));
+        if elapsed_ms >= COUNTING_PERIOD_MS {
+            share.period_started_at = Some(now);
+            share.used_last_period = std::mem::take(&mut share.used_this_period);
         }
-        share.asked = Some(now);
+        share.requested_at = Some(now);
         share.sequence += 1;
-        let stock = if share.used_lately >= stock_from { share.used_lately.div_ceil(2) } else { 0 };
-        let wanted = (stock + waiting).max(1);
+        let prefetched = if share.used_last_period >= min_calls {
+            share.used_last_period.div_ceil(2)
+        } else {
+            0
+        };
+        let wanted = (prefetched + waiting).max(1);
         Some(BorrowRequest {
             workspace: workspace.clone(),
             borrower: instance,
             sequence: share.sequence,
-            unused: share.calls,
+            unused: share.unused_calls,
             wanted,
-            for_ms: if stock > 0 { STOCK_MS } else { CALL_MS },
+            for_ms: if prefetched > 0 { PREFETCH_LOAN_MS } else { ON_DEMAND_LOAN_MS },
         })
     }
 
-    /// Takes the answer to a question. The time runs from the question, before the lender's own
-    /// count began, so that a share is over here before the lender lends it again.
+    /// Applies the lender's reply to a request.
+    ///
+    /// The loan's time is counted from the request, which is before the lender starts its own
+    /// count, so that the share expires here before the lender lends the same calls again.
     pub fn record_loan(&mut self, now: TimeMs, request: &BorrowRequest, loan: Loan) {
         let Some(share) = self.shares.get_mut(&request.workspace) else {
             return;
@@ -119,33 +133,34 @@
         if share.sequence != request.sequence {
             return;
         }
-        let Some(asked) = share.asked.take() else {
+        let Some(requested_at) = share.requested_at.take() else {
             return;
         };
         if loan.for_ms > 0 {
-            share.expires = share.expires.max(asked.plus(loan.for_ms));
-            share.calls += loan.calls;
+            share.expires_at = share.expires_at.max(requested_at.plus(loan.for_ms));
+            share.unused_calls += loan.calls;
         }
         if loan.calls == 0 {
             share.refused_until = now.plus(loan.wait_ms);
         }
-        if share.expires <= now {
-            share.calls = 0;
+        if share.expires_at <= now {
+            share.unused_calls = 0;
         }
     }
 
-    /// Takes note that a question got no answer.
+    /// Records that a request got no loan, so that the next one may be sent.
     pub fn record_failed_request(&mut self, request: &BorrowRequest) {
         let share = self.shares.get_mut(&request.workspace);
         if let Some(share) = share.filter(|share| share.sequence == request.sequence) {
-            share.asked = None;
+            share.requested_at = None;
         }
     }
 
-    /// Whether a share is about to be used up, so that asking early spares the next call a wait.
+    /// Whether a share is nearly used up, so that a request sent now saves the next call a wait.
     pub fn should_prefetch(&self, workspace: &WorkspaceId) -> bool {
         self.shares.get(workspace).is_some_and(|share| {
-            share.used_lately >= self.stock_from_calls && share.calls <= share.used_lately / 4
+            share.used_last_period >= self.min_calls_to_prefetch
+                && share.unused_calls <= share.used_last_period / 4
         })
     }
 }
--- a/src/admission/lender.rs
+++ b/src/admission/lender.rs
@@ -3,118 +3,122 @@
 use crate::admission::TokenBucket;
 use crate::prelude::*;
 
-/// Times that lender and borrowers agree on.
+/// Durations that the lender and the borrowers agree on.
 #[value]
 #[derive(Copy)]
 pub struct LendingTimes {
-    /// How long a share lasts on its borrower's clock.
-    pub lend_ms: u64,
-    /// How long a lender may lend after it last saw that it still owns its shard.
+    /// Longest time that a loan lasts on its borrower's clock.
+    pub max_loan_ms: u64,
+    /// How long a lender may lend after its ownership of the shard was last confirmed.
     pub confirmation_valid_ms: u64,
-    /// By how much clocks of two VMs may differ over such a time, in thousandths.
+    /// How far the clocks of two VMs may drift apart over such a duration, in thousandths of it.
     pub drift_per_mille: u64,
 }
 
 impl LendingTimes {
-    /// How long a share lent for `lend_ms` may live, by the lender's clock.
-    pub fn loan_ms(&self, lend_ms: u64) -> u64 {
-        self.stretched(lend_ms)
+    /// How long a loan of `loan_ms` on the borrower's clock may last on the lender's clock.
+    pub fn lender_loan_ms(&self, loan_ms: u64) -> u64 {
+        self.with_drift(loan_ms)
     }
 
-    /// How long a new lender waits before it lends: the one before it may lend for
-    /// `authority_ms` after the claim, and the last share that it lends lasts for `lend_ms`.
+    /// How long a new lender waits before it lends. The previous lender may have had its ownership
+    /// confirmed just before the claim and lends until that confirmation expires. Its last loan may
+    /// last for `max_loan_ms` after that.
     pub fn quarantine_ms(&self) -> u64 {
-        self.stretched(self.confirmation_valid_ms + self.lend_ms)
+        self.with_drift(self.confirmation_valid_ms + self.max_loan_ms)
     }
 
-    fn stretched(&self, ms: u64) -> u64 {
+    fn with_drift(&self, ms: u64) -> u64 {
         ms + (ms * self.drift_per_mille).div_ceil(1_000) + 1
     }
 }
 
 impl Default for LendingTimes {
     fn default() -> LendingTimes {
-        LendingTimes { lend_ms: 1_000, confirmation_valid_ms: 1_000, drift_per_mille: 10 }
+        LendingTimes { max_loan_ms: 1_000, confirmation_valid_ms: 1_000, drift_per_mille: 10 }
     }
 }
 
-/// A borrower's question.
+/// A borrower's request for a loan.
 #[wire]
 pub struct BorrowRequest {
-    /// The workspace.
+    /// The workspace whose rate is borrowed.
     pub workspace: WorkspaceId,
-    /// The borrower's run. Another run of the same VM is another borrower.
+    /// The borrower's process instance. After a restart the same VM is another borrower.
     pub borrower: Instance,
-    /// Counts the borrower's questions: a late one must not take a newer one back.
+    /// Numbers the borrower's requests, so that a delayed one can't override a newer one.
     pub sequence: u64,
-    /// Calls that the borrower holds and has not used.
+    /// Calls that the borrower still holds unused.
     pub unused: u64,
-    /// Calls that it wants on top.
+    /// Calls to borrow in addition.
     pub wanted: u64,
-    /// For how long it wants them.
+    /// Requested duration of the loan.
     pub for_ms: u64,
 }
 
-/// The lender's answer.
+/// The lender's reply.
 #[wire]
 #[derive(Copy)]
 pub struct Loan {
-    /// Calls that the borrower may admit on top of what it holds.
+    /// Calls that the borrower may admit in addition to those that it holds.
     pub calls: u64,
-    /// How long they last, with what it holds, from the moment of its question.
+    /// How long these and the calls already held may be used, counted from the request.
     pub for_ms: u64,
-    /// When the next call is there to lend, if there was none.
+    /// Time until a call can be lent, if none could be.
     pub wait_ms: u64,
 }
 
-struct Outstanding {
+struct ActiveLoan {
     calls: u64,
     sequence: u64,
-    until: TimeMs,
+    expires_at: TimeMs,
 }
 
-struct Account {
+struct WorkspaceState {
     bucket: TokenBucket,
     rate_per_s: u64,
     burst: u64,
-    loans: HashMap<Instance, Outstanding>,
+    loans: HashMap<Instance, ActiveLoan>,
 }
 
-/// Lends shares of the rates of the workspaces that fall to one shard.
+/// Lends calls from the token buckets of the workspaces of one shard.
 ///
-/// What is lent and may still be unused counts against the burst. Otherwise a borrower could keep
-/// a whole burst back while the bucket fills again, and the two would meet in one moment.
+/// Calls that are lent and may still be unused count against the burst. Otherwise a borrower could
+/// hold a whole burst while the bucket refills, and both could be used at the same moment.
 pub struct Lender {
     times: LendingTimes,
-    opens_at: TimeMs,
-    accounts: HashMap<WorkspaceId, Account>,
+    lends_from: TimeMs,
+    workspaces: HashMap<WorkspaceId, WorkspaceState>,
     starts_full: bool,
 }
 
 impl Lender {
-    /// A lender whose claim was seen in the log at `claimed`. It starts with empty buckets once
-    /// no share of the lender before it can be alive.
+    /// Creates a lender whose claim of the shard was read from the log at `claimed`. It starts to
+    /// lend, with empty buckets, when every loan of the previous lender has expired.
     pub fn new(times: LendingTimes, claimed: TimeMs) -> Lender {
-        let opens_at = claimed.plus(times.quarantine_ms());
-        Lender { times, opens_at, accounts: HashMap::new(), starts_full: false }
+        let lends_from = claimed.plus(times.quarantine_ms());
+        Lender { times, lends_from, workspaces: HashMap::new(), starts_full: false }
     }
 
-    /// The first lender that there ever was: nothing can be lent, and nothing was used.
+    /// Creates the first lender of a shard. No calls can have been lent or used before, so that it
+    /// lends at once and starts with full buckets.
     pub fn first(times: LendingTimes, claimed: TimeMs) -> Lender {
-        Lender { times, opens_at: claimed, accounts: HashMap::new(), starts_full: true }
+        Lender { times, lends_from: claimed, workspaces: HashMap::new(), starts_full: true }
     }
 
-    /// A lender whose predecessor stopped to lend before it released the shard: only the shares
-    /// that it lent have to be waited out.
+    /// Creates a lender whose predecessor stopped lending before it released the shard: it has to
+    /// wait only until the predecessor's loans have expired.
     pub fn after_release(times: LendingTimes, claimed: TimeMs) -> Lender {
         Lender {
-            opens_at: claimed.plus(times.loan_ms(times.lend_ms)),
+            lends_from: claimed.plus(times.lender_loan_ms(times.max_loan_ms)),
             ..Lender::new(times, claimed)
         }
     }
 
-    /// Lends. `confirmed` is when the lender last asked the log and was told that it still owns
-    /// its shard; `(rate_per_s, burst)` is the contract's.
+    /// Answers a request for a loan.
+    ///
+    /// `confirmed` is the time of the lender's last query of the log that confirmed its ownership
+    /// of the shard; `(rate_per_s, burst)` are the limits in the workspace's contract.
     pub fn lend(
         &mut self,
         now: TimeMs,
@@ -122,86 +126,92 @@
         (rate_per_s, burst): (u64, u64),
         request: &BorrowRequest,
     ) -> Loan {
-        if now < self.opens_at {
-            return refusal(self.opens_at.since(now));
+        if now < self.lends_from {
+            return refused_loan(self.lends_from.since(now));
         }
         if now.since(confirmed) >= self.times.confirmation_valid_ms {
-            return refusal(self.times.confirmation_valid_ms);
+            return refused_loan(self.times.confirmation_valid_ms);
         }
-        let (opens_at, starts_full) = (self.opens_at, self.starts_full);
-        let account = self.accounts.entry(request.workspace.clone()).or_insert_with(|| {
+        let (lends_from, starts_full) = (self.lends_from, self.starts_full);
+        let state = self.workspaces.entry(request.workspace.clone()).or_insert_with(|| {
             let bucket = match starts_full {
-                true => TokenBucket::full(rate_per_s, burst, opens_at),
-                false => TokenBucket::empty(rate_per_s, burst, opens_at),
+                true => TokenBucket::full(rate_per_s, burst, lends_from),
+                false => TokenBucket::empty(rate_per_s, burst, lends_from),
             };
-            Account { bucket, rate_per_s, burst, loans: HashMap::new() }
+            WorkspaceState { bucket, rate_per_s, burst, loans: HashMap::new() }
         });
-        account.follow(rate_per_s, burst, now);
-        account.expire(now);
-        let for_ms = request.for_ms.min(self.times.lend_ms);
-        let until = now.plus(self.times.loan_ms(for_ms));
-        account.lend(now, request, until, for_ms)
+        state.update_limits(rate_per_s, burst, now);
+        state.remove_expired(now);
+        let for_ms = request.for_ms.min(self.times.max_loan_ms);
+        let expires_at = now.plus(self.times.lender_loan_ms(for_ms));
+        state.lend(now, request, expires_at, for_ms)
     }
 
-    /// Workspaces with an account.
-    pub fn accounts(&self) -> usize {
-        self.accounts.len()
+    /// Returns the number of workspaces that have borrowed from this lender.
+    pub fn workspace_count(&self) -> usize {
+        self.workspaces.len()
     }
 }
 
-fn refusal(wait_ms: u64) -> Loan {
+fn refused_loan(wait_ms: u64) -> Loan {
     Loan { calls: 0, for_ms: 0, wait_ms }
 }
 
-impl Account {
-    fn follow(&mut self, rate_per_s: u64, burst: u64, now: TimeMs) {
+impl WorkspaceState {
+    fn update_limits(&mut self, rate_per_s: u64, burst: u64, now: TimeMs) {
         if (self.rate_per_s, self.burst) != (rate_per_s, burst) {
             (self.rate_per_s, self.burst) = (rate_per_s, burst);
-            self.fit_bucket(now);
+            self.cap_bucket(now);
         }
     }
 
-    /// Ends the shares that have run out, each at its time: from then on the bucket fills further.
-    /// Ending them all now would lose what it would have gained since.
-    fn expire(&mut self, now: TimeMs) {
-        while let Some(until) = self.loans.values().map(|loan| loan.until).min() {
-            if until > now {
+    /// Removes expired loans, each as of the time it expired, since the bucket may refill further
+    /// from then on. Removing all of them as of `now` would lose the refill in between.
+    fn remove_expired(&mut self, now: TimeMs) {
+        while let Some(expires_at) = self.loans.values().map(|loan| loan.expires_at).min() {
+            if expires_at > now {
                 break;
             }
-            self.loans.retain(|_, loan| loan.until > until);
-            self.fit_bucket(until);
+            self.loans.retain(|_, loan| loan.expires_at > expires_at);
+            self.cap_bucket(expires_at);
         }
-        self.fit_bucket(now);
+        self.cap_bucket(now);
     }
 
-    fn outstanding(&self) -> u64 {
+    fn outstanding_calls(&self) -> u64 {
         self.loans.values().map(|loan| loan.calls).sum()
     }
 
-    /// The bucket holds at most what the burst leaves beside the outstanding shares.
-    fn fit_bucket(&mut self, now: TimeMs) {
-        let room = self.burst.saturating_sub(self.outstanding());
-        self.bucket.set_limits(self.rate_per_s, room, now);
+    /// Limits the bucket to the part of the burst that outstanding loans leave.
+    fn cap_bucket(&mut self, now: TimeMs) {
+        let available = self.burst.saturating_sub(self.outstanding_calls());
+        self.bucket.set_limits(self.rate_per_s, available, now);
     }
 
-    fn lend(&mut self, now: TimeMs, request: &BorrowRequest, until: TimeMs, for_ms: u64) -> Loan {
-        let known = self.loans.get(&request.borrower);
-        if known.is_some_and(|loan| loan.sequence >= request.sequence) {
-            return refusal(for_ms);
+    fn lend(
+        &mut self,
+        now: TimeMs,
+        request: &BorrowRequest,
+        expires_at: TimeMs,
+        for_ms: u64,
+    ) -> Loan {
+        let previous = self.loans.get(&request.borrower);
+        if previous.is_some_and(|loan| loan.sequence >= request.sequence) {
+            return refused_loan(for_ms);
         }
-        let held = known.map_or(0, |loan| loan.calls.min(request.unused));
-        // Should this answer be lost, the borrower still holds what it has for as long as before.
-        let until = known.map_or(until, |loan| loan.until.max(until));
-        // What the borrower says it has used no longer stands against the burst.
+        let unused = previous.map_or(0, |loan| loan.calls.min(request.unused));
+        // If this reply is lost, the borrower keeps what it holds until the earlier loan expires.
+        let expires_at = previous.map_or(expires_at, |loan| loan.expires_at.max(expires_at));
+        // Calls that the borrower reports as used no longer count against the burst.
         let sequence = request.sequence;
-        self.loans.insert(request.borrower, Outstanding { calls: held, sequence, until });
-        self.fit_bucket(now);
+        self.loans.insert(request.borrower, ActiveLoan { calls: unused, sequence, expires_at });
+        self.cap_bucket(now);
         let calls = self.bucket.take_up_to(request.wanted, now);
         let wait_ms = if calls == 0 { self.bucket.wait_ms().min(for_ms) } else { 0 };
         if let Some(loan) = self.loans.get_mut(&request.borrower) {
             loan.calls += calls;
         }
-        self.fit_bucket(now);
+        self.cap_bucket(now);
         Loan { calls, for_ms, wait_ms }
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,17 +1,18 @@
-//! Admission: no workspace exceeds its rate and burst over all entries together.
+//! Admission control: enforces the rate and burst of each workspace across all entries.
 //!
-//! One entry lends out each workspace's rate: the one that owns the shard that the workspace falls
-//! to. The others borrow shares that last for a short time.
+//! Each workspace is hashed to a shard. The entry that owns the shard holds the workspace's token
+//! bucket and lends calls from it. Every entry, the lender included, admits only calls that it has
+//! borrowed. A share, the calls that an entry holds for a workspace, expires after a short time.
 
 mod borrower;
-mod bucket;
 mod lender;
-mod split;
+mod static_split;
+mod token_bucket;
 
 pub use borrower::{AdmissionDecision, Borrower, MIN_CALLS_TO_PREFETCH};
-pub use bucket::TokenBucket;
 pub use lender::{BorrowRequest, Lender, LendingTimes, Loan};
-pub use split::StaticSplit;
+pub use static_split::StaticSplit;
+pub use token_bucket::TokenBucket;
 
 #[cfg(test)]
 mod tests;
--- a/src/admission/split.rs
+++ b/src/admission/static_split.rs
@@ -4,15 +4,17 @@
 use crate::contracts::Contract;
 use crate::prelude::*;
 
-/// Each entry admits an equal, fixed part of each workspace's rate and burst. The baseline: never
-/// too much, but a balancer that favours one entry makes it refuse what the contract allows.
+/// Splits each workspace's rate and burst equally between the entries; used as a baseline.
+///
+/// It never exceeds the contract, but if a load balancer sends more calls to one entry than to the
+/// others, that entry refuses calls that the contract allows.
 #[derive(Default)]
 pub struct StaticSplit {
     buckets: HashMap<WorkspaceId, TokenBucket>,
 }
 
 impl StaticSplit {
-    /// Admits a call, or says when to come back.
+    /// Admits a call, or returns the time in milliseconds after which to retry.
     pub fn admit(
         &mut self,
         workspace: &WorkspaceId,
--- a/src/endpoint/backend.rs
+++ b/src/endpoint/backend.rs
@@ -16,22 +16,23 @@
 };
 
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A line of an engine's stream may be this long.
+/// Maximum length of a line in an engine's event stream.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// A service's reply may be this long.
+/// Maximum length of a service's response body.
 const MAX_REPLY_BYTES: usize = 1 << 20;
-const NO_ENGINE_RUN: u64 = 0;
+/// Stands for the engine's run if the engine does not answer the health check.
+const UNKNOWN_ENGINE_RUN: u64 = 0;
 
-/// The endpoint beside this process: a model engine or a plain service.
+/// Client for the endpoint beside this process: a model engine or a plain service.
 #[derive(Clone)]
 pub struct Backend {
     http: Client,
     address: SocketAddr,
 }
 
-/// A running attempt's text so far.
+/// Reads an engine's event stream and collects the generated text.
 #[derive(Default)]
-pub struct BackendRun {
+pub struct CompletionReader {
     text: String,
     tokens: u64,
 }
@@ -69,21 +70,21 @@
     completion_tokens: u64,
 }
 
-/// What one event of an engine's stream says.
-enum Step {
-    Nothing,
+/// The content of one event in an engine's stream.
+enum StreamEvent {
+    Ignored,
     Text(Arc<str>),
     Finished(FinishReason, Usage),
     Cancelled,
 }
 
 impl Backend {
-    /// Opens the connection to the endpoint.
+    /// Creates a client for the endpoint at `address`.
     pub fn open(http: Client, address: SocketAddr) -> Backend {
         Backend { http, address }
     }
 
-    /// Runs an attempt to its end; hands on text as it comes.
+    /// Runs an attempt to its end. Calls `on_text` for each piece of generated text.
     pub async fn run(&self, attempt: &Attempt, on_text: impl FnMut(Arc<str>)) -> AttemptFrame {
         match &attempt.work {
             AttemptWork::Model { .. } => self.run_model(attempt, on_text).await,
@@ -93,31 +94,32 @@
 
     /// Asks the engine to stop an attempt.
     pub async fn stop(&self, attempt: AttemptId) {
-        let order = json!({ "request_id": attempt.to_string() });
-        let _ = self.order("/cancel", &order).await;
+        let body = json!({ "request_id": attempt.to_string() });
+        let _ = self.post_control("/cancel", &body).await;
     }
 
-    /// Frees a conversation.
+    /// Frees a conversation in the engine's cache.
     pub async fn free(&self, key: &str) -> Result<(), CallError> {
-        self.order("/cache/free", &json!({ "key": key })).await
+        self.post_control("/cache/free", &json!({ "key": key })).await
     }
 
-    /// The conversations that the engine holds.
-    pub async fn cached(&self) -> Result<Vec<String>, CallError> {
+    /// The keys of the conversations in the engine's cache.
+    pub async fn cached_keys(&self) -> Result<Vec<String>, CallError> {
         let entries: Vec<CacheEntry> =
             self.http.get(self.address, "/cache", CONTROL_TIMEOUT).await?;
         Ok(entries.into_iter().map(|entry| entry.key).collect())
     }
 
-    async fn order(&self, path: &str, order: &serde_json::Value) -> Result<(), CallError> {
-        let call = self.http.call(Method::POST, self.address, path, order, CONTROL_TIMEOUT);
+    async fn post_control(&self, path: &str, body: &serde_json::Value) -> Result<(), CallError> {
+        let call = self.http.call(Method::POST, self.address, path, body, CONTROL_TIMEOUT);
         call.await.map(|_: serde_json::Value| ())
     }
 
-    /// The engine's run; a crash gives it another.
+    /// The number of the engine's current run, which changes when the engine restarts after a
+    /// crash.
     async fn engine_run(&self) -> u64 {
         let health = self.http.get(self.address, "/health", CONTROL_TIMEOUT).await;
-        health.map_or(NO_ENGINE_RUN, |health: EngineHealth| health.run)
+        health.map_or(UNKNOWN_ENGINE_RUN, |health: EngineHealth| health.run)
     }
 
     async fn run_model(
@@ -131,36 +133,38 @@
             return failed(FailureCause::Rejected, Some(0));
         };
         let run_before = self.engine_run().await;
-        let mut call = parameters.clone();
-        call.insert("model".to_string(), json!(model));
-        call.insert("messages".to_string(), json!(messages));
-        call.insert("max_tokens".to_string(), json!(max_tokens));
-        call.insert("stream".to_string(), json!(true));
-        call.insert("request_id".to_string(), json!(attempt.id.to_string()));
-        call.insert("cache_key".to_string(), json!(cache_key(&attempt.program)));
-        // Engines serve the least number first: the program that has had the least.
-        call.insert("priority".to_string(), json!(attempt.attained_tokens));
-        call.insert("resume_text".to_string(), json!(resume_text));
-        let body = Bytes::from(serde_json::Value::Object(call).to_string());
-        let started = self.http.start(Method::POST, self.address, COMPLETIONS, body).await;
-        let mut run = BackendRun { text: resume_text.to_string(), tokens: 0 };
-        let end = match started {
+        let mut request = parameters.clone();
+        request.insert("model".to_string(), json!(model));
+        request.insert("messages".to_string(), json!(messages));
+        request.insert("max_tokens".to_string(), json!(max_tokens));
+        request.insert("stream".to_string(), json!(true));
+        request.insert("request_id".to_string(), json!(attempt.id.to_string()));
+        request.insert("cache_key".to_string(), json!(cache_key(&attempt.program)));
+        // Engines serve lower numbers first, so the program that has used the fewest tokens goes
+        // first.
+        request.insert("priority".to_string(), json!(attempt.attained_tokens));
+        request.insert("resume_text".to_string(), json!(resume_text));
+        let body = Bytes::from(serde_json::Value::Object(request).to_string());
+        let started = self.http.start(Method::POST, self.address, COMPLETIONS_PATH, body).await;
+        let mut reader = CompletionReader { text: resume_text.to_string(), tokens: 0 };
+        let final_frame = match started {
             Err(CallError::NotSent) => return failed(FailureCause::Rejected, Some(0)),
             Err(_) => None,
-            // The engine answers so before it starts anything.
+            // The engine sends an error status only before it starts the request.
             Ok(response) if response.status().as_u16() >= 400 => {
                 return failed(FailureCause::Rejected, Some(0));
             }
-            Ok(response) => run.follow(response.into_body(), &mut on_text).await,
+            Ok(response) => reader.read_stream(response.into_body(), &mut on_text).await,
         };
-        match end {
-            Some(end) => end,
-            None => self.broken(run_before, run.tokens).await,
+        match final_frame {
+            Some(final_frame) => final_frame,
+            None => self.stream_failure(run_before, reader.tokens).await,
         }
     }
 
-    /// The stream broke: did the engine crash, or only the stream?
-    async fn broken(&self, run_before: u64, tokens: u64) -> AttemptFrame {
+    /// The failure of an attempt whose stream broke: a crash if the engine's run has changed since,
+    /// otherwise an interruption of the stream alone.
+    async fn stream_failure(&self, run_before: u64, tokens: u64) -> AttemptFrame {
         let cause = match self.engine_run().await == run_before {
             true => FailureCause::Interrupted,
             false => FailureCause::Crashed { run: run_before },
@@ -188,15 +192,15 @@
     }
 }
 
-const COMPLETIONS: &str = "/v1/chat/completions";
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
 fn failed(cause: FailureCause, spent_tokens: Option<u64>) -> AttemptFrame {
     AttemptFrame::Failed { cause, spent_tokens }
 }
 
-impl BackendRun {
-    /// Reads the engine's stream to its end; `None` if it broke before.
-    async fn follow(
+impl CompletionReader {
+    /// Reads the engine's stream to its end; `None` if the stream breaks before that.
+    async fn read_stream(
         &mut self,
         body: Incoming,
         on_text: &mut impl FnMut(Arc<str>),
@@ -204,35 +208,37 @@
         let mut lines = LineReader::open(body, MAX_EVENT_BYTES);
         loop {
             let line = lines.next().await?;
-            match read_event(&line)? {
-                Step::Nothing => {}
-                Step::Text(text) => {
+            match parse_event(&line)? {
+                StreamEvent::Ignored => {}
+                StreamEvent::Text(text) => {
                     self.text.push_str(&text);
                     self.tokens += 1;
                     on_text(text);
                 }
-                Step::Finished(finish, usage) => return Some(self.done(finish, usage)),
-                Step::Cancelled => {
+                StreamEvent::Finished(finish, usage) => {
+                    return Some(self.done_frame(finish, usage));
+                }
+                StreamEvent::Cancelled => {
                     return Some(failed(FailureCause::Cancelled, Some(self.tokens)));
                 }
             }
         }
     }
 
-    fn done(&self, finish: FinishReason, usage: Usage) -> AttemptFrame {
+    fn done_frame(&self, finish: FinishReason, usage: Usage) -> AttemptFrame {
         let text = self.text.as_str().into();
         AttemptFrame::Done { result: TurnResult::Answered { text, finish, usage } }
     }
 }
 
-/// Reads one line of the stream; `None` if it is not what an engine sends.
-fn read_event(line: &[u8]) -> Option<Step> {
+/// Parses one line of the stream; `None` if it is malformed.
+fn parse_event(line: &[u8]) -> Option<StreamEvent> {
     let line = line.trim_ascii();
     let Some(data) = line.strip_prefix(b"data: ") else {
-        return Some(Step::Nothing);
+        return Some(StreamEvent::Ignored);
     };
     if data == b"[DONE]" {
-        return Some(Step::Nothing);
+        return Some(StreamEvent::Ignored);
     }
     let event: EngineEvent = serde_json::from_slice(data).ok()?;
     let choice = event.choices.into_iter().next()?;
@@ -241,10 +247,10 @@
         completion_tokens: usage.completion_tokens,
     });
     Some(match (choice.finish_reason.as_deref(), choice.delta.content) {
-        (Some("cancelled"), _) => Step::Cancelled,
-        (Some("length"), _) => Step::Finished(FinishReason::Length, usage),
-        (Some(_), _) => Step::Finished(FinishReason::Stop, usage),
-        (None, Some(text)) => Step::Text(text.into()),
-        (None, None) => Step::Nothing,
+        (Some("cancelled"), _) => StreamEvent::Cancelled,
+        (Some("length"), _) => StreamEvent::Finished(FinishReason::Length, usage),
+        (Some(_), _) => StreamEvent::Finished(FinishReason::Stop, usage),
+        (None, Some(text)) => StreamEvent::Text(text.into()),
+        (None, None) => StreamEvent::Ignored,
     })
 }
--- a/src/endpoint/finished.rs
+++ b/src/endpoint/finished.rs
@@ -3,83 +3,85 @@
 use crate::prelude::*;
 use crate::programs::{AttemptFrame, TurnResult};
 
-/// What is known of an attempt that neither waits nor runs.
+/// What is known about an attempt that is neither queued nor running.
 #[value]
-pub enum Recall {
-    /// How it ended.
-    Over(AttemptFrame),
-    /// It may have ended, but that was dropped to bound memory.
+pub enum FinishedLookup {
+    /// It ended, with this final frame.
+    Ended(AttemptFrame),
+    /// It may have run here: its result may be among those dropped to bound memory.
     Forgotten,
-    /// It never came.
+    /// It has never been submitted.
     NeverSeen,
 }
 
-/// The ends of recent attempts, within bounded memory.
+/// The results of recent attempts, within bounded memory.
 ///
-/// What is dropped is remembered by the highest number dropped for each shard. Without it, an
-/// attempt that ran and was forgotten would look as if it had never come, and would run twice.
-pub struct Finished {
+/// When results are dropped, the highest dropped attempt of each shard is kept. Without it, an
+/// attempt whose result was dropped would look as if it had never been submitted, and would run
+/// twice.
+pub struct FinishedAttempts {
     max_bytes: usize,
     bytes: usize,
-    ends: HashMap<AttemptId, AttemptFrame>,
-    order: VecDeque<AttemptId>,
-    dropped: HashMap<ShardId, AttemptId>,
+    results: HashMap<AttemptId, AttemptFrame>,
+    insertion_order: VecDeque<AttemptId>,
+    highest_dropped: HashMap<ShardId, AttemptId>,
     denied: HashSet<AttemptId>,
 }
 
-/// What an entry costs beside its text.
-const ENTRY_BYTES: usize = 160;
-/// Denials kept. An owner that was told "never seen" fences its predecessors by the same
-/// question, so that old denials protect nothing that the fence does not.
+/// Approximate memory for one stored result, apart from its text.
+const RESULT_OVERHEAD_BYTES: usize = 160;
+/// Maximum number of denied attempts kept. The query to which an owner gets the answer "never seen"
+/// also fences the shard's earlier owners, so old denials protect against nothing that the fence
+/// does not.
 const MAX_DENIED: usize = 65_536;
 
-impl Finished {
-    /// A memory of about `max_bytes`.
-    pub fn new(max_bytes: usize) -> Finished {
-        Finished {
+impl FinishedAttempts {
+    /// Creates a store that keeps results up to about `max_bytes`.
+    pub fn new(max_bytes: usize) -> FinishedAttempts {
+        FinishedAttempts {
             max_bytes,
             bytes: 0,
-            ends: HashMap::new(),
-            order: VecDeque::new(),
-            dropped: HashMap::new(),
+            results: HashMap::new(),
+            insertion_order: VecDeque::new(),
+            highest_dropped: HashMap::new(),
             denied: HashSet::new(),
         }
     }
 
-    /// Remembers how an attempt ended.
-    pub fn remember(&mut self, attempt: AttemptId, end: AttemptFrame) {
-        self.bytes += frame_bytes(&end);
-        if self.ends.insert(attempt, end).is_none() {
-            self.order.push_back(attempt);
+    /// Stores the final frame of an attempt and drops the oldest results if memory is exceeded.
+    pub fn insert_result(&mut self, attempt: AttemptId, frame: AttemptFrame) {
+        self.bytes += frame_bytes(&frame);
+        if self.results.insert(attempt, frame).is_none() {
+            self.insertion_order.push_back(attempt);
         }
         while self.bytes > self.max_bytes {
-            let Some(oldest) = self.order.pop_front() else {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 break;
             };
-            self.drop_end(oldest);
+            self.drop_result(oldest);
         }
     }
 
-    fn drop_end(&mut self, attempt: AttemptId) {
-        if let Some(end) = self.ends.remove(&attempt) {
-            self.bytes -= frame_bytes(&end);
+    fn drop_result(&mut self, attempt: AttemptId) {
+        if let Some(frame) = self.results.remove(&attempt) {
+            self.bytes -= frame_bytes(&frame);
         }
-        let highest = self.dropped.entry(attempt.shard).or_insert(attempt);
+        let highest = self.highest_dropped.entry(attempt.shard).or_insert(attempt);
         *highest = attempt.max(*highest);
     }
 
-    /// What is known of an attempt.
-    pub fn recall(&self, attempt: AttemptId) -> Recall {
-        if let Some(end) = self.ends.get(&attempt) {
-            return Recall::Over(end.clone());
+    /// What is known about an attempt.
+    pub fn lookup(&self, attempt: AttemptId) -> FinishedLookup {
+        if let Some(frame) = self.results.get(&attempt) {
+            return FinishedLookup::Ended(frame.clone());
         }
-        match self.dropped.get(&attempt.shard) {
-            Some(highest) if attempt <= *highest => Recall::Forgotten,
-            _ => Recall::NeverSeen,
+        match self.highest_dropped.get(&attempt.shard) {
+            Some(highest) if attempt <= *highest => FinishedLookup::Forgotten,
+            _ => FinishedLookup::NeverSeen,
         }
     }
 
-    /// Makes sure that an attempt which never came will not run if it comes yet.
+    /// Marks an attempt so that it is rejected if it is submitted later.
     pub fn deny(&mut self, attempt: AttemptId) {
         if self.denied.len() >= MAX_DENIED {
             self.denied.clear();
@@ -87,7 +89,7 @@
         self.denied.insert(attempt);
     }
 
-    /// Whether an attempt was denied.
+    /// Whether an attempt must be rejected if it is submitted.
     pub fn is_denied(&self, attempt: AttemptId) -> bool {
         self.denied.contains(&attempt)
     }
@@ -100,5 +102,5 @@
         AttemptFrame::Done { result: TurnResult::Served { body, .. } } => body.len(),
         AttemptFrame::Done { result: TurnResult::Unknown } | AttemptFrame::Failed { .. } => 0,
     };
-    text + ENTRY_BYTES
+    text + RESULT_OVERHEAD_BYTES
 }
--- a/src/endpoint/leases.rs
+++ b/src/endpoint/leases.rs
@@ -2,55 +2,59 @@
 
 use crate::prelude::*;
 
-/// Leases on the engine's cache: each conversation that the engine may hold has one, and is freed
-/// when it runs out.
+/// Leases on the conversations in the engine's cache. A conversation is freed when its lease
+/// expires.
 ///
-/// An owner frees a program's cache when the program ends, but that message can be lost with its
-/// sender. The lease needs no message: what nobody uses is freed in bounded time.
+/// An owner frees a program's cache when the program ends, but that message is lost if the owner
+/// fails. Leases need no message: an unused conversation is freed in bounded time.
 pub struct CacheLeases {
     lease_ms: u64,
-    until: HashMap<Arc<str>, TimeMs>,
+    expires_at: HashMap<Arc<str>, TimeMs>,
 }
 
 impl CacheLeases {
-    /// Leases of `lease_ms` each.
+    /// Creates an empty set of leases that last `lease_ms` each.
     pub fn new(lease_ms: u64) -> CacheLeases {
-        CacheLeases { lease_ms, until: HashMap::new() }
+        CacheLeases { lease_ms, expires_at: HashMap::new() }
     }
 
-    /// Starts or prolongs a lease.
+    /// Starts or renews a lease.
     pub fn renew(&mut self, now: TimeMs, key: &str) {
-        self.until.insert(key.into(), now.plus(self.lease_ms));
+        self.expires_at.insert(key.into(), now.plus(self.lease_ms));
     }
 
-    /// Starts a lease for what the engine was found to hold, unless there is one.
-    pub fn found(&mut self, now: TimeMs, key: &str) {
-        let until = now.plus(self.lease_ms);
-        self.until.entry(key.into()).or_insert(until);
+    /// Starts a lease for a conversation found in the engine's cache, unless it has one.
+    pub fn adopt(&mut self, now: TimeMs, key: &str) {
+        let expires_at = now.plus(self.lease_ms);
+        self.expires_at.entry(key.into()).or_insert(expires_at);
     }
 
-    /// Ends a lease. Returns whether there was one.
-    pub fn end(&mut self, key: &str) -> bool {
-        self.until.remove(key).is_some()
+    /// Removes a lease. Returns whether there was one.
+    pub fn remove(&mut self, key: &str) -> bool {
+        self.expires_at.remove(key).is_some()
     }
 
-    /// Ends and returns the leases that have run out.
+    /// Removes and returns the leases that have expired.
     pub fn expired(&mut self, now: TimeMs) -> Vec<Arc<str>> {
-        let over: Vec<Arc<str>> =
-            self.until.iter().filter(|(_, until)| **until <= now).map(|(k, _)| k.clone()).collect();
-        over.iter().for_each(|key| {
-            self.until.remove(key);
+        let expired_keys: Vec<Arc<str>> = self
+            .expires_at
+            .iter()
+            .filter(|(_, expires_at)| **expires_at <= now)
+            .map(|(k, _)| k.clone())
+            .collect();
+        expired_keys.iter().for_each(|key| {
+            self.expires_at.remove(key);
         });
-        over
+        expired_keys
     }
 
-    /// Leases held.
+    /// Number of leases.
     pub fn len(&self) -> usize {
-        self.until.len()
+        self.expires_at.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
-        self.until.is_empty()
+        self.expires_at.is_empty()
     }
 }
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! The process beside an endpoint: fences, orders and runs attempts, and frees engine memory.
+//! The process beside an endpoint: fences, queues and runs attempts, and frees the engine's cache.
 
 mod backend;
 mod finished;
@@ -8,8 +8,8 @@
 mod scheduler;
 mod server;
 
-pub use backend::{Backend, BackendRun};
-pub use finished::{Finished, Recall};
+pub use backend::{Backend, CompletionReader};
+pub use finished::{FinishedAttempts, FinishedLookup};
 pub use leases::CacheLeases;
 pub use order::{OrderPolicy, QueueOrder, SchedulingKey};
 pub use process::run;
--- a/src/endpoint/order.rs
+++ b/src/endpoint/order.rs
@@ -2,69 +2,72 @@
 
 use crate::prelude::*;
 
-/// In which order waiting attempts are started. The baselines stay for comparison.
+/// The order in which queued attempts are started. `Fifo` and `FairShare` are baselines, kept for
+/// comparison.
 #[value]
 #[derive(Copy)]
 pub enum OrderPolicy {
     /// First come, first served.
     Fifo,
-    /// The workspace that has had the least service first; within it, first come.
+    /// The workspace that has received the least service first; first come, first served within it.
     FairShare,
-    /// The workspace that has had the least service first; within it, the program that has used
-    /// the least.
+    /// The workspace that has received the least service first; within it, the program that has
+    /// used the fewest tokens.
     FairThenAttained,
 }
 
-/// An attempt that waits, as far as its order goes.
+/// The properties of a queued attempt that decide its place in the order.
 #[value]
 pub struct SchedulingKey {
-    /// Its workspace.
+    /// Workspace of the attempt's program.
     pub workspace: WorkspaceId,
-    /// When it came.
+    /// When the attempt was queued.
     pub since: TimeMs,
-    /// Tokens that its program has used.
+    /// Tokens that the attempt's program has used so far.
     pub attained_tokens: u64,
-    /// What it will cost, in tokens, at a guess.
+    /// Estimated cost of the attempt, in tokens.
     pub cost_tokens: u64,
 }
 
-/// Waiting for so long puts an attempt before every rule of fairness: short programs that keep
-/// coming would otherwise starve a long one.
+/// After an attempt has waited this long, the queue is served first come, first served, whatever
+/// the policy. Otherwise a steady flow of short programs would starve a long one.
 const MAX_WAIT_MS: u64 = 5_000;
 
-/// Decides the order of service.
+/// Decides which queued attempt starts next.
 pub struct QueueOrder {
     policy: OrderPolicy,
-    /// Service that each workspace has had, in tokens, from a common start.
+    /// Tokens of service that each workspace has received, on a common scale. Workspaces at or
+    /// below `level` are left out.
     served: HashMap<WorkspaceId, u64>,
-    /// Service of the workspace whose attempt started last, before it: where idle ones start.
+    /// The highest service that a workspace had when one of its attempts started; workspaces that
+    /// were idle start from here.
     level: u64,
 }
 
 impl QueueOrder {
-    /// An order by this policy.
+    /// Creates an order that follows `policy`.
     pub fn new(policy: OrderPolicy) -> QueueOrder {
         QueueOrder { policy, served: HashMap::new(), level: 0 }
     }
 
-    /// The index of the attempt to start next.
-    pub fn next(&self, now: TimeMs, waiting: &[SchedulingKey]) -> Option<usize> {
-        let indexed = waiting.iter().enumerate();
+    /// Index of the attempt in `queued` to start next; `None` if `queued` is empty.
+    pub fn next(&self, now: TimeMs, queued: &[SchedulingKey]) -> Option<usize> {
+        let indexed = queued.iter().enumerate();
         let first = |key: &dyn Fn(&SchedulingKey) -> (u64, u64, TimeMs)| {
-            indexed.clone().min_by_key(|(_, w)| key(w)).map(|(index, _)| index)
+            indexed.clone().min_by_key(|(_, q)| key(q)).map(|(index, _)| index)
         };
-        let overdue = waiting.iter().any(|w| now.since(w.since) >= MAX_WAIT_MS);
+        let overdue = queued.iter().any(|q| now.since(q.since) >= MAX_WAIT_MS);
         match self.policy {
-            OrderPolicy::Fifo => first(&|w| (0, 0, w.since)),
-            _ if overdue => first(&|w| (0, 0, w.since)),
-            OrderPolicy::FairShare => first(&|w| (self.service_of(w), 0, w.since)),
+            OrderPolicy::Fifo => first(&|q| (0, 0, q.since)),
+            _ if overdue => first(&|q| (0, 0, q.since)),
+            OrderPolicy::FairShare => first(&|q| (self.service_of(q), 0, q.since)),
             OrderPolicy::FairThenAttained => {
-                first(&|w| (self.service_of(w), w.attained_tokens, w.since))
+                first(&|q| (self.service_of(q), q.attained_tokens, q.since))
             }
         }
     }
 
-    /// Counts an attempt that starts.
+    /// Adds the cost of an attempt that starts to the service of its workspace.
     pub fn started(&mut self, attempt: &SchedulingKey) {
         let service = self.service_of(attempt);
         self.level = self.level.max(service);
@@ -73,7 +76,8 @@
         self.served.retain(|_, service| *service > level);
     }
 
-    /// A workspace that was idle starts level with the others: unused service is not saved up.
+    /// The service that the attempt's workspace has received. A workspace that was idle starts at
+    /// `level`, so it can't save up service that it did not use.
     fn service_of(&self, attempt: &SchedulingKey) -> u64 {
         self.served.get(&attempt.workspace).copied().unwrap_or(0).max(self.level)
     }
--- a/src/endpoint/process.rs
+++ b/src/endpoint/process.rs
@@ -20,87 +20,88 @@
 use crate::telemetry::Metrics;
 use crate::time::Clock;
 
-/// Memory for the ends of attempts, of the 32 MB that a node may use for control.
+/// Memory for the results of ended attempts: a part of the 32 MB that a node may use for control.
 const FINISHED_BYTES: usize = 8 << 20;
 const TICK: Duration = Duration::from_millis(50);
-/// How long an endpoint may take to obey a stop before its attempt counts as broken.
+/// How long an endpoint may take to stop an attempt before the attempt counts as interrupted.
 const STOP_GRACE: Duration = Duration::from_secs(2);
 
-/// How long the end of the same call for another program is waited for.
-const SAME_CALL_WAIT_MS: u64 = 3_000;
+/// How long a rejected call waits for the end of the same call of another program.
+const SAME_CALL_TIMEOUT_MS: u64 = 3_000;
 const SAME_CALL_POLL: Duration = Duration::from_millis(5);
 
-/// The process beside an endpoint, with its desk and the tasks around it.
-pub(super) struct Slot {
+/// Accepts attempts for an endpoint, runs them as the scheduler decides, and sends their frames to
+/// the submitters. Shared by the tasks of the process.
+pub(super) struct Dispatcher {
     scheduler: Mutex<AttemptScheduler>,
     backend: Backend,
     clock: Clock,
     settings: EndpointSettings,
     listeners: Mutex<HashMap<AttemptId, mpsc::UnboundedSender<AttemptFrame>>>,
-    stops: Mutex<HashMap<AttemptId, watch::Sender<bool>>>,
+    stop_senders: Mutex<HashMap<AttemptId, watch::Sender<bool>>>,
 }
 
-/// Runs the process until it is told to stop and has finished what it holds.
+/// Runs the process until it is told to stop and has drained.
 pub async fn run(settings: EndpointSettings, metrics: Metrics) -> Result<(), DaemonError> {
     let mut shutdown = Shutdown::install()?;
     let instance = Instance::random();
     let me = EndpointRef { vm: settings.process.vm.clone(), instance };
-    let slot = Arc::new(Slot::new(me, settings.clone()));
-    let calls = slot.clone();
+    let dispatcher = Arc::new(Dispatcher::new(me, settings.clone()));
+    let request_handler = dispatcher.clone();
     let peer_listen = settings.process.peer_listen;
     let peers = serve(peer_listen, ServerLimits::default(), move |request| {
-        server::handle(calls.clone(), request)
+        server::handle(request_handler.clone(), request)
     })
     .await?;
-    let control = slot.clone();
+    let control_handler = dispatcher.clone();
     let control_listen = SocketAddr::new(peers.address.ip(), 0);
     let links = LinkServer::bind(control_listen, move |request| {
-        let reply = control.control(request);
+        let reply = control_handler.handle_control(request);
         async move { reply }
     })
     .await?;
     let admin = Admin::bind(settings.process.admin_listen, metrics).await?;
     let socket = UdpSocket::bind(peers.address).await?;
     let pulse = Pulse::new(&settings.process, instance, peers.address, links.address, socket);
-    slot.adopt_cache().await;
+    dispatcher.adopt_cache().await;
     admin.announce("endpoint", &settings.process.vm, &[("peer", peers.address)]);
-    let reported = slot.clone();
-    admin.report(move || reported.status());
+    let status_source = dispatcher.clone();
+    admin.report(move || status_source.status());
     admin.set_ready(true);
-    let beating = slot.clone();
-    let heartbeat = tokio::spawn(async move { beating.beat(pulse).await });
-    let ticking = tokio::spawn(slot.clone().tick());
+    let heartbeat_sender = dispatcher.clone();
+    let heartbeat_task = tokio::spawn(async move { heartbeat_sender.send_heartbeats(pulse).await });
+    let tick_task = tokio::spawn(dispatcher.clone().tick());
     shutdown.requested().await;
     log::info!("draining");
     admin.set_ready(false);
-    slot.scheduler.lock().expect("no holder panics").drain();
-    slot.wait_idle(Duration::from_millis(settings.process.drain_timeout_ms)).await;
+    dispatcher.scheduler.lock().expect("no holder panics").drain();
+    dispatcher.wait_idle(Duration::from_millis(settings.process.drain_timeout_ms)).await;
     peers.shut_down().await;
-    heartbeat.abort();
-    ticking.abort();
+    heartbeat_task.abort();
+    tick_task.abort();
     log::info!("stopped");
     Ok(())
 }
 
-fn is_rejection(end: &AttemptFrame) -> bool {
-    matches!(end, AttemptFrame::Failed { cause: FailureCause::Rejected, .. })
+fn is_rejection(final_frame: &AttemptFrame) -> bool {
+    matches!(final_frame, AttemptFrame::Failed { cause: FailureCause::Rejected, .. })
 }
 
-impl Slot {
-    fn new(me: EndpointRef, settings: EndpointSettings) -> Slot {
+impl Dispatcher {
+    fn new(me: EndpointRef, settings: EndpointSettings) -> Dispatcher {
         let limits = SchedulerLimits {
             concurrency: settings.concurrency as usize,
             queue: settings.queue as usize,
             cache_lease_ms: settings.cache_lease_ms,
             finished_bytes: FINISHED_BYTES,
         };
-        Slot {
+        Dispatcher {
             scheduler: Mutex::new(AttemptScheduler::new(me, limits, OrderPolicy::FairThenAttained)),
             backend: Backend::open(Client::open(), settings.backend),
             clock: Clock::start(),
             settings,
             listeners: Mutex::default(),
-            stops: Mutex::default(),
+            stop_senders: Mutex::default(),
         }
     }
 
@@ -112,7 +113,7 @@
             "serves": self.settings.serves,
             "running": scheduler.running(),
             "queued": scheduler.queued(),
-            "cache_leases": scheduler.leases(),
+            "cache_leases": scheduler.lease_count(),
             "draining": scheduler.is_draining(),
         })
     }
@@ -121,9 +122,9 @@
         self.scheduler.lock().expect("no holder panics")
     }
 
-    /// Takes an attempt; its frames come through the channel.
+    /// Submits an attempt; its frames arrive through the returned channel.
     pub(super) fn submit(
-        self: &Arc<Slot>,
+        self: &Arc<Dispatcher>,
         attempt: Attempt,
     ) -> (Submission, mpsc::UnboundedReceiver<AttemptFrame>) {
         let (frames, receiver) = mpsc::unbounded_channel();
@@ -135,8 +136,8 @@
             "attempt submitted"
         );
         let submission = {
-            // One hold of the desk for both: the attempt could otherwise be started by another
-            // task in between, and its first words would find nobody to go to.
+            // The lock is held over both steps. Otherwise another task could start the attempt in
+            // between, and its first frames would find no listener.
             let mut scheduler = self.scheduler();
             let submission = scheduler.submit(self.clock.now(), attempt);
             if submission == Submission::Accepted {
@@ -148,8 +149,8 @@
         (submission, receiver)
     }
 
-    /// Answers a control message.
-    fn control(self: &Arc<Slot>, request: ControlRequest) -> ControlReply {
+    /// Handles a control message.
+    fn handle_control(self: &Arc<Dispatcher>, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Ask { attempt, instance, epoch } => {
                 ControlReply::Report(self.scheduler().query(attempt, instance, epoch))
@@ -168,30 +169,32 @@
         }
     }
 
-    fn schedule(self: &Arc<Slot>) {
+    fn schedule(self: &Arc<Dispatcher>) {
         let actions = self.scheduler().schedule(self.clock.now());
         self.carry_out(actions);
     }
 
-    fn carry_out(self: &Arc<Slot>, actions: Vec<SchedulerAction>) {
+    fn carry_out(self: &Arc<Dispatcher>, actions: Vec<SchedulerAction>) {
         for action in actions {
             match action {
-                SchedulerAction::Start(attempt) => drop(tokio::spawn(self.clone().run(attempt))),
+                SchedulerAction::Start(attempt) => {
+                    drop(tokio::spawn(self.clone().run_attempt(attempt)))
+                }
                 SchedulerAction::Stop(id) => self.stop(id),
-                SchedulerAction::End(id, end) => self.tell(id, end),
+                SchedulerAction::End(id, final_frame) => self.send_frame(id, final_frame),
                 SchedulerAction::FreeCache(key) => drop(tokio::spawn(self.clone().free_cache(key))),
             }
         }
     }
 
-    fn stop(self: &Arc<Slot>, id: AttemptId) {
-        if let Some(stop) = self.stops.lock().expect("no holder panics").get(&id) {
+    fn stop(self: &Arc<Dispatcher>, id: AttemptId) {
+        if let Some(stop) = self.stop_senders.lock().expect("no holder panics").get(&id) {
             let _ = stop.send(true);
         }
     }
 
-    /// Passes a frame on; after the last one the listener is let go.
-    fn tell(&self, id: AttemptId, frame: AttemptFrame) {
+    /// Sends a frame to the attempt's listener, and removes the listener after the last frame.
+    fn send_frame(&self, id: AttemptId, frame: AttemptFrame) {
         let mut listeners = self.listeners.lock().expect("no holder panics");
         let is_last = !matches!(frame, AttemptFrame::Delta { .. });
         if let Some(listener) = listeners.get(&id) {
@@ -202,39 +205,48 @@
         }
     }
 
-    async fn run(self: Arc<Slot>, attempt: Attempt) {
+    async fn run_attempt(self: Arc<Dispatcher>, attempt: Attempt) {
         let id = attempt.id;
-        let (stop, stopped) = watch::channel(false);
-        self.stops.lock().expect("no holder panics").insert(id, stop);
+        let (stop, stop_requested) = watch::channel(false);
+        self.stop_senders.lock().expect("no holder panics").insert(id, stop);
         let started = self.clock.now();
-        let end = tokio::select! {
-            end = self.backend.run(&attempt, |text| self.tell(id, AttemptFrame::Delta { text })) => end,
-            end = self.stopped(id, stopped) => end,
+        let final_frame = tokio::select! {
+            frame = self.backend.run(&attempt, |text| self.send_frame(id, AttemptFrame::Delta { text })) => frame,
+            frame = self.wait_for_stop(id, stop_requested) => frame,
         };
         let workspace = attempt.program.workspace.to_string();
         let elapsed_ms = self.clock.now().since(started) as f64;
         metrics::histogram!("trefoil_attempt_ms", "workspace" => workspace).record(elapsed_ms);
-        self.stops.lock().expect("no holder panics").remove(&id);
-        if is_rejection(&end) {
+        self.stop_senders.lock().expect("no holder panics").remove(&id);
+        if is_rejection(&final_frame) {
             self.wait_for_same_call(id).await;
         }
-        let end = self.scheduler().record_end(self.clock.now(), id, end);
-        self.tell(id, end);
+        let final_frame = self.scheduler().record_end(self.clock.now(), id, final_frame);
+        self.send_frame(id, final_frame);
         self.schedule();
     }
 
+    /// Waits while the same call is running for another program, since that call may be the one
+    /// that crashed the engine.
     async fn wait_for_same_call(&self, id: AttemptId) {
         let started = self.clock.now();
-        while self.scheduler().turned_away(id)
-            && self.clock.now().since(started) < SAME_CALL_WAIT_MS
+        while self.scheduler().mark_engine_rejected(id)
+            && self.clock.now().since(started) < SAME_CALL_TIMEOUT_MS
         {
             tokio::time::sleep(SAME_CALL_POLL).await;
         }
     }
 
-    /// Waits for a stop, passes it on, and gives up on an endpoint that does not obey.
-    async fn stopped(&self, id: AttemptId, mut stopped: watch::Receiver<bool>) -> AttemptFrame {
-        if stopped.wait_for(|stop| *stop).await.is_err() {
+    /// Waits for a request to stop the attempt, forwards it to the engine, and returns an
+    /// interruption if the engine has not ended the attempt within [`STOP_GRACE`].
+    ///
+    /// A service can't be told to stop: its attempt is abandoned at once.
+    async fn wait_for_stop(
+        &self,
+        id: AttemptId,
+        mut stop_requested: watch::Receiver<bool>,
+    ) -> AttemptFrame {
+        if stop_requested.wait_for(|stop| *stop).await.is_err() {
             std::future::pending::<()>().await;
         }
         if !self.settings.is_service {
@@ -244,36 +256,43 @@
         AttemptFrame::Failed { cause: FailureCause::Interrupted, spent_tokens: None }
     }
 
-    async fn free_cache(self: Arc<Slot>, key: Arc<str>) {
+    async fn free_cache(self: Arc<Dispatcher>, key: Arc<str>) {
         if let Err(fault) = self.backend.free(&key).await {
-            log::warn!(fault:?; "the engine did not free a conversation; trying again");
-            // A lease of its own: it is tried again when that runs out.
-            self.scheduler().found_cached(self.clock.now(), &key);
+            log::warn!(
+                fault:?;
+                "cannot free a conversation in the engine's cache; retrying when its lease expires"
+            );
+            // Starts a new lease, so that freeing is tried again when it expires.
+            self.scheduler().adopt_cached(self.clock.now(), &key);
         }
     }
 
-    /// Gives a lease to whatever the engine holds from before this run.
+    /// Starts leases for the conversations that the engine has cached since before this process
+    /// started.
     async fn adopt_cache(&self) {
         if self.settings.is_service {
             return;
         }
-        match self.backend.cached().await {
+        match self.backend.cached_keys().await {
             Ok(keys) => {
                 let now = self.clock.now();
-                keys.iter().for_each(|key| self.scheduler().found_cached(now, key));
+                keys.iter().for_each(|key| self.scheduler().adopt_cached(now, key));
             }
-            Err(fault) => log::warn!(fault:?; "the engine's cache could not be listed"),
+            Err(fault) => log::warn!(
+                fault:?;
+                "cannot list the engine's cache; starting without leases for its conversations"
+            ),
         }
     }
 
-    async fn tick(self: Arc<Slot>) {
+    async fn tick(self: Arc<Dispatcher>) {
         loop {
             tokio::time::sleep(TICK).await;
             self.schedule();
         }
     }
 
-    async fn beat(&self, mut pulse: Pulse) {
+    async fn send_heartbeats(&self, mut pulse: Pulse) {
         loop {
             let (state, role_status) = {
                 let scheduler = self.scheduler();
@@ -300,7 +319,10 @@
             }
         };
         if tokio::time::timeout(timeout, idle).await.is_err() {
-            log::warn!("stopping with attempts under way: the drain timeout has passed");
+            log::warn!(
+                "drain did not finish within {} ms; stopping with attempts in flight",
+                timeout.as_millis()
+            );
         }
     }
 }
--- a/src/endpoint/scheduler.rs
+++ b/src/endpoint/scheduler.rs
@@ -1,50 +1,52 @@
 use std::collections::HashMap;
 
-use crate::endpoint::{CacheLeases, Finished, OrderPolicy, QueueOrder, Recall, SchedulingKey};
+use crate::endpoint::{
+    CacheLeases, FinishedAttempts, FinishedLookup, OrderPolicy, QueueOrder, SchedulingKey,
+};
 use crate::prelude::*;
 use crate::programs::{Attempt, AttemptFrame, AttemptReport, AttemptWork, FailureCause};
 
-/// Bytes of text to a token, for guessing costs.
+/// Average bytes of text per token, for cost estimates.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Calls remembered as crashing the engine.
-const MAX_CRASHERS: usize = 10_000;
-/// What a service call counts as, in tokens.
+/// Maximum number of calls remembered as crashing the engine.
+const MAX_CRASH_SUSPECTS: usize = 10_000;
+/// Estimated cost of a service call, in tokens.
 const SERVICE_COST_TOKENS: u64 = 50;
 
-/// Bounds of a desk.
+/// Limits of a [`AttemptScheduler`].
 #[value]
 #[derive(Copy)]
 pub struct SchedulerLimits {
-    /// Attempts that run at once.
+    /// Maximum number of attempts that run at once.
     pub concurrency: usize,
-    /// Attempts that wait at once.
+    /// Maximum number of queued attempts.
     pub queue: usize,
-    /// How long an idle conversation stays in the engine's cache.
+    /// How long an unused conversation stays in the engine's cache.
     pub cache_lease_ms: u64,
-    /// Memory for the ends of attempts.
+    /// Memory for the results of ended attempts.
     pub finished_bytes: usize,
 }
 
-/// What became of a submitted attempt.
+/// Outcome of submitting an attempt.
 #[value]
 #[derive(Copy)]
 pub enum Submission {
-    /// It waits or runs.
+    /// The attempt is queued.
     Accepted,
-    /// It did not start, and never will.
+    /// The attempt has not started and never will.
     Rejected,
-    /// It had come before; its frames go to whoever submitted it first.
+    /// The attempt was submitted before; its frames go to the first submitter.
     Duplicate,
 }
 
-/// What a desk wants done.
+/// An effect that the caller of a [`AttemptScheduler`] must carry out.
 #[value]
 pub enum SchedulerAction {
     /// Run an attempt on the endpoint.
     Start(Attempt),
     /// Stop a running attempt.
     Stop(AttemptId),
-    /// Tell the submitter how an attempt ended that never started.
+    /// Send the submitter the final frame of an attempt that never started.
     End(AttemptId, AttemptFrame),
     /// Free a conversation in the engine's cache.
     FreeCache(Arc<str>),
@@ -55,42 +57,47 @@
     digest: Digest,
     deadline: TimeMs,
     is_model: bool,
+    /// Suspected of crashing engines, so that no other attempt may run beside it.
     alone: bool,
     stopped: bool,
-    /// The engine turned it away: it never started there.
-    turned_away: bool,
+    /// The engine rejected it before starting it.
+    engine_rejected: bool,
 }
 
-/// What is known of a call that ran when the engine crashed.
+/// A call that was running when the engine crashed.
 #[derive(Clone, Copy)]
-struct Crasher {
+struct CrashSuspect {
+    /// The engine's run that ended.
     run: u64,
+    /// Whether the call was running alone, so that it must have caused the crash.
     alone: bool,
 }
 
-struct Queued {
+struct QueuedAttempt {
     attempt: Attempt,
     deadline: TimeMs,
-    waiting: SchedulingKey,
+    scheduling_key: SchedulingKey,
 }
 
-/// The state machine of the process beside an endpoint. It does no I/O.
+/// State machine of the process beside an endpoint: accepts, queues, starts and fences attempts. It
+/// does no I/O.
 pub struct AttemptScheduler {
     me: EndpointRef,
     limits: SchedulerLimits,
+    /// The lowest epoch that is still accepted for each shard.
     fences: HashMap<ShardId, Epoch>,
-    queue: Vec<Queued>,
+    queue: Vec<QueuedAttempt>,
     running: HashMap<AttemptId, Running>,
-    finished: Finished,
+    finished: FinishedAttempts,
     order: QueueOrder,
     leases: CacheLeases,
-    /// Calls that ran when the engine crashed.
-    crashers: HashMap<(WorkspaceId, Digest), Crasher>,
+    /// Calls that were running when the engine crashed.
+    crash_suspects: HashMap<(WorkspaceId, Digest), CrashSuspect>,
     draining: bool,
 }
 
 impl AttemptScheduler {
-    /// A desk for one run of the process.
+    /// Creates the state of one process instance, `me`.
     pub fn new(me: EndpointRef, limits: SchedulerLimits, policy: OrderPolicy) -> AttemptScheduler {
         AttemptScheduler {
             me,
@@ -98,88 +105,89 @@
             fences: HashMap::new(),
             queue: Vec::new(),
             running: HashMap::new(),
-            finished: Finished::new(limits.finished_bytes),
+            finished: FinishedAttempts::new(limits.finished_bytes),
             order: QueueOrder::new(policy),
             leases: CacheLeases::new(limits.cache_lease_ms),
-            crashers: HashMap::new(),
+            crash_suspects: HashMap::new(),
             draining: false,
         }
     }
 
-    /// Attempts that run.
+    /// Number of running attempts.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Attempts that wait.
+    /// Number of queued attempts.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes no more attempts; what it has is finished.
+    /// Stops accepting attempts; those queued or running are finished.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether it takes no more attempts.
+    /// Whether [`Self::drain`] was called.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no attempt is queued or running.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running.is_empty()
     }
 
-    /// Takes an attempt.
+    /// Queues an attempt, unless it must be rejected.
     ///
-    /// An attempt of an owner that has been replaced is rejected by its epoch, and one that is
-    /// meant for an earlier run of this process by its instance: that run may have started it,
-    /// and what it knew of fences is gone with it.
+    /// An attempt from a replaced owner is rejected because of its epoch. One meant for an earlier
+    /// instance of this process is rejected too: that instance may have started it, and the fences
+    /// that it knew were lost with it.
     pub fn submit(&mut self, now: TimeMs, attempt: Attempt) -> Submission {
         let id = attempt.id;
         if attempt.target != self.me {
             return Submission::Rejected;
         }
-        if self.holds(id) || self.finished.recall(id) != Recall::NeverSeen {
+        if self.is_pending(id) || self.finished.lookup(id) != FinishedLookup::NeverSeen {
             return Submission::Duplicate;
         }
         let fence = self.fences.entry(id.shard).or_default();
         let fenced = id.epoch < *fence || self.finished.is_denied(id);
         if fenced || self.draining || self.queue.len() >= self.limits.queue {
-            // Never to be started, also if it should come again.
+            // Must not start even if it is submitted again.
             self.finished.deny(id);
             return Submission::Rejected;
         }
         *fence = id.epoch;
-        let waiting = waiting(now, &attempt);
+        let scheduling_key = scheduling_key(now, &attempt);
         let deadline = now.plus(attempt.deadline_in_ms);
-        self.queue.push(Queued { attempt, deadline, waiting });
+        self.queue.push(QueuedAttempt { attempt, deadline, scheduling_key });
         Submission::Accepted
     }
 
-    /// Says what became of an attempt. The asker's epoch fences the owners before it; an attempt
-    /// that was never seen is denied from now on, so that the answer stays true.
+    /// Reports the state of an attempt. The epoch of the querying owner fences earlier owners of
+    /// the shard. An attempt that was never seen is rejected from now on, so that the report stays
+    /// true.
     pub fn query(&mut self, attempt: AttemptId, instance: Instance, epoch: Epoch) -> AttemptReport {
         if instance != self.me.instance {
             return AttemptReport::Forgotten;
         }
         let fence = self.fences.entry(attempt.shard).or_default();
         *fence = epoch.max(*fence);
-        if self.holds(attempt) {
+        if self.is_pending(attempt) {
             return AttemptReport::Running;
         }
-        match self.finished.recall(attempt) {
-            Recall::Over(end) => AttemptReport::Over(end),
-            Recall::Forgotten => AttemptReport::Forgotten,
-            Recall::NeverSeen => {
+        match self.finished.lookup(attempt) {
+            FinishedLookup::Ended(final_frame) => AttemptReport::Over(final_frame),
+            FinishedLookup::Forgotten => AttemptReport::Forgotten,
+            FinishedLookup::NeverSeen => {
                 self.finished.deny(attempt);
                 AttemptReport::NeverSeen
             }
         }
     }
 
-    /// Stops an attempt.
+    /// Removes an attempt from the queue, or stops it if it is running on a model engine.
     pub fn cancel(&mut self, attempt: AttemptId) -> Vec<SchedulerAction> {
         if let Some(index) = self.queue.iter().position(|queued| queued.attempt.id == attempt) {
             self.queue.swap_remove(index);
@@ -194,72 +202,77 @@
         }
     }
 
-    /// Takes note that the engine turned a running attempt away. Returns whether the same call
-    /// runs there for another program, so that its end must be waited for.
+    /// Records that the engine rejected a running attempt. Returns whether the same call is running
+    /// there for another program; if so, the caller waits for its end.
     ///
-    /// That call may just have crashed the engine, which is why this one was turned away. Told
-    /// only "rejected", its owner would send it to the next engine as if it were innocent.
-    pub fn turned_away(&mut self, attempt: AttemptId) -> bool {
+    /// That other call may just have crashed the engine, which is why this one was rejected. If the
+    /// owner were told only "rejected", it would send a call that may crash engines on to the next
+    /// one.
+    pub fn mark_engine_rejected(&mut self, attempt: AttemptId) -> bool {
         let Some(running) = self.running.get_mut(&attempt) else {
             return false;
         };
-        running.turned_away = true;
+        running.engine_rejected = true;
         let (workspace, digest) = (running.program.workspace.clone(), running.digest);
         self.running.values().any(|other| {
             let same = other.digest == digest && other.program.workspace == workspace;
-            same && !other.turned_away
+            same && !other.engine_rejected
         })
     }
 
-    /// Takes note of the end of a running attempt; returns how it ended, by all that is known.
+    /// Records the end of a running attempt. Returns the final frame for its submitter, which
+    /// reports a crash if the engine rejected the attempt and the same call crashed it.
     pub fn record_end(
         &mut self,
         now: TimeMs,
         attempt: AttemptId,
-        end: AttemptFrame,
+        final_frame: AttemptFrame,
     ) -> AttemptFrame {
         let Some(running) = self.running.remove(&attempt) else {
-            return end;
+            return final_frame;
         };
         let key = (running.program.workspace.clone(), running.digest);
-        let end = match self.crashers.get(&key) {
-            Some(known) if running.turned_away => AttemptFrame::Failed {
+        let final_frame = match self.crash_suspects.get(&key) {
+            Some(known) if running.engine_rejected => AttemptFrame::Failed {
                 cause: FailureCause::Crashed { run: known.run },
                 spent_tokens: Some(0),
             },
-            _ => end,
+            _ => final_frame,
         };
-        if !running.turned_away {
-            self.note_end(&running, &end);
+        if !running.engine_rejected {
+            self.update_crash_suspects(&running, &final_frame);
         }
         if running.is_model {
             self.leases.renew(now, &cache_key(&running.program));
         }
-        self.finished.remember(attempt, end.clone());
-        end
+        self.finished.insert_result(attempt, final_frame.clone());
+        final_frame
     }
 
-    /// The same call may wait here for other callers, or come yet: it would crash the engine once
-    /// more before the owners have told each other. One that ends well alone is cleared.
-    fn note_end(&mut self, running: &Running, end: &AttemptFrame) {
+    /// Remembers a call that was running when the engine crashed. The same call may be queued here
+    /// for other callers, or be submitted later, and would crash the engine again before the
+    /// owners have notified each other. A call that completes while running alone is cleared.
+    fn update_crash_suspects(&mut self, running: &Running, final_frame: &AttemptFrame) {
         let key = (running.program.workspace.clone(), running.digest);
         let alone = running.alone;
-        match end {
+        match final_frame {
             AttemptFrame::Failed { cause: FailureCause::Crashed { run }, .. } => {
-                if self.crashers.len() >= MAX_CRASHERS {
-                    self.crashers.clear();
+                if self.crash_suspects.len() >= MAX_CRASH_SUSPECTS {
+                    self.crash_suspects.clear();
                 }
-                let known_alone = self.crashers.get(&key).is_some_and(|known| known.alone);
-                self.crashers.insert(key, Crasher { run: *run, alone: alone || known_alone });
+                let known_alone = self.crash_suspects.get(&key).is_some_and(|known| known.alone);
+                self.crash_suspects
+                    .insert(key, CrashSuspect { run: *run, alone: alone || known_alone });
             }
             AttemptFrame::Done { .. } if alone => {
-                self.crashers.remove(&key);
+                self.crash_suspects.remove(&key);
             }
             _ => {}
         }
     }
 
-    /// Frees what the engine holds for a program that has ended.
+    /// Stops the running model calls of a program that has ended and frees its conversation in the
+    /// engine's cache.
     pub fn free(&mut self, program: &ProgramId) -> Vec<SchedulerAction> {
         let of_program = |running: &Running| running.program == *program;
         let ids: Vec<AttemptId> =
@@ -267,32 +280,33 @@
         let mut actions: Vec<SchedulerAction> =
             ids.into_iter().flat_map(|id| self.cancel(id)).collect();
         let key = cache_key(program);
-        if self.leases.end(&key) {
+        if self.leases.remove(&key) {
             actions.push(SchedulerAction::FreeCache(key));
         }
         actions
     }
 
-    /// Takes note of a conversation that the engine was found to hold.
-    pub fn found_cached(&mut self, now: TimeMs, key: &str) {
-        self.leases.found(now, key);
+    /// Starts a lease for a conversation found in the engine's cache.
+    pub fn adopt_cached(&mut self, now: TimeMs, key: &str) {
+        self.leases.adopt(now, key);
     }
 
-    /// Conversations with a lease.
-    pub fn leases(&self) -> usize {
+    /// Number of conversations with a lease.
+    pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
-    /// Starts what may start, and ends what has run out of time.
+    /// Starts the queued attempts that can run now, ends or stops those past their deadline, and
+    /// frees conversations whose lease has expired.
     pub fn schedule(&mut self, now: TimeMs) -> Vec<SchedulerAction> {
         let mut actions = self.expire(now);
-        while let Some(attempt) = self.next_to_start(now) {
+        while let Some(attempt) = self.pop_next(now) {
             actions.push(SchedulerAction::Start(attempt));
         }
         actions
     }
 
-    fn holds(&self, attempt: AttemptId) -> bool {
+    fn is_pending(&self, attempt: AttemptId) -> bool {
         let queued = self.queue.iter().any(|queued| queued.attempt.id == attempt);
         queued || self.running.contains_key(&attempt)
     }
@@ -303,7 +317,7 @@
         self.queue.retain(|queued| queued.deadline > now);
         let mut actions: Vec<SchedulerAction> =
             late.into_iter().map(|id| self.end_unstarted(id, FailureCause::Expired)).collect();
-        actions.extend(self.end_crashers());
+        actions.extend(self.end_crash_suspects());
         for (id, running) in &mut self.running {
             if running.deadline <= now && !running.stopped {
                 running.stopped = true;
@@ -320,13 +334,13 @@
         actions
     }
 
-    /// Ends waiting calls that are known to crash the engine, as if they had done it again. One
+    /// Ends queued calls that are known to crash the engine, and reports them as crashed. A call
     /// that is only suspected may still run alone.
-    fn end_crashers(&mut self) -> Vec<SchedulerAction> {
-        let crash_of = |queued: &Queued| {
+    fn end_crash_suspects(&mut self) -> Vec<SchedulerAction> {
+        let crash_of = |queued: &QueuedAttempt| {
             let attempt = &queued.attempt;
             let key = (attempt.program.workspace.clone(), attempt.digest);
-            let known = self.crashers.get(&key)?;
+            let known = self.crash_suspects.get(&key)?;
             (known.alone || !attempt.alone).then_some((attempt.id, known.run))
         };
         let known: Vec<(AttemptId, u64)> = self.queue.iter().filter_map(crash_of).collect();
@@ -338,26 +352,29 @@
     }
 
     fn end_unstarted(&mut self, attempt: AttemptId, cause: FailureCause) -> SchedulerAction {
-        let end = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
-        self.finished.remember(attempt, end.clone());
-        SchedulerAction::End(attempt, end)
+        let final_frame = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
+        self.finished.insert_result(attempt, final_frame.clone());
+        SchedulerAction::End(attempt, final_frame)
     }
 
-    /// An attempt suspected of crashing the engine starts on an empty one, and nothing starts
-    /// beside it: else its crash would take innocent calls along, and each of those would look
-    /// like the culprit.
-    fn next_to_start(&mut self, now: TimeMs) -> Option<Attempt> {
+    /// Takes the next attempt that can start from the queue.
+    ///
+    /// A call suspected of crashing the engine runs alone: it starts only on an idle engine, and
+    /// nothing starts beside it. Otherwise a crash would end unrelated calls too, and each of them
+    /// would become a suspect.
+    fn pop_next(&mut self, now: TimeMs) -> Option<Attempt> {
         let alone_runs = self.running.values().any(|running| running.alone);
         if alone_runs || self.running.len() >= self.limits.concurrency {
             return None;
         }
-        let waiting: Vec<SchedulingKey> = self.queue.iter().map(|q| q.waiting.clone()).collect();
-        let index = self.order.next(now, &waiting)?;
+        let keys: Vec<SchedulingKey> =
+            self.queue.iter().map(|q| q.scheduling_key.clone()).collect();
+        let index = self.order.next(now, &keys)?;
         if self.queue[index].attempt.alone && !self.running.is_empty() {
             return None;
         }
         let queued = self.queue.remove(index);
-        self.order.started(&queued.waiting);
+        self.order.started(&queued.scheduling_key);
         let attempt = queued.attempt;
         let is_model = matches!(attempt.work, AttemptWork::Model { .. });
         if is_model {
@@ -370,19 +387,21 @@
             is_model,
             alone: attempt.alone,
             stopped: false,
-            turned_away: false,
+            engine_rejected: false,
         };
         self.running.insert(attempt.id, running);
         Some(attempt)
     }
 }
 
-/// Under which name the engine caches a program's conversation.
+/// The key of a program's conversation in the engine's cache.
 pub(super) fn cache_key(program: &ProgramId) -> Arc<str> {
     program.to_string().into()
 }
 
-fn waiting(now: TimeMs, attempt: &Attempt) -> SchedulingKey {
+/// The properties that decide when an attempt is started. Tokens of the prompt count a quarter of
+/// generated ones.
+fn scheduling_key(now: TimeMs, attempt: &Attempt) -> SchedulingKey {
     let cost_tokens = match &attempt.work {
         AttemptWork::Model { messages, max_tokens, .. } => {
             let bytes: u64 = messages.iter().map(|message| message.approx_bytes() as u64).sum();
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-use super::process::Slot;
+use super::process::Dispatcher;
 use crate::endpoint::Submission;
 use crate::http::{Body, json, lines, read_body, streamed};
 use crate::prelude::*;
@@ -13,24 +13,27 @@
 
 const MAX_ATTEMPT_BYTES: usize = 64 << 20;
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Where attempts are submitted.
+/// Path at which attempts are submitted.
 pub const ATTEMPTS_PATH: &str = "/attempts";
 
-/// Answers a call of another process of the system.
-pub(super) async fn handle(slot: Arc<Slot>, request: Request<Incoming>) -> Response<Body> {
+/// Handles a request from another process of the cluster.
+pub(super) async fn handle(
+    dispatcher: Arc<Dispatcher>,
+    request: Request<Incoming>,
+) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::POST, ATTEMPTS_PATH) => submit(slot, request).await,
+        (&Method::POST, ATTEMPTS_PATH) => submit(dispatcher, request).await,
         _ => json(StatusCode::NOT_FOUND, &"no such call"),
     }
 }
 
-async fn submit(slot: Arc<Slot>, request: Request<Incoming>) -> Response<Body> {
+async fn submit(dispatcher: Arc<Dispatcher>, request: Request<Incoming>) -> Response<Body> {
     let body = read_body(request.into_body(), MAX_ATTEMPT_BYTES, RECEIVE_TIMEOUT).await;
     let attempt = body.ok().and_then(|bytes| serde_json::from_slice::<Attempt>(&bytes).ok());
     let Some(attempt) = attempt else {
         return json(StatusCode::BAD_REQUEST, &"not an attempt");
     };
-    let (submission, frames) = slot.submit(attempt);
+    let (submission, frames) = dispatcher.submit(attempt);
     match submission {
         Submission::Accepted => {
             let frames = UnboundedReceiverStream::new(frames);
@@ -41,7 +44,7 @@
             let frame = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
             Response::new(crate::http::whole(lines(&frame)))
         }
-        // The owner finds out by asking what became of the attempt.
+        // The owner queries the attempt's state instead.
         Submission::Duplicate => json(StatusCode::CONFLICT, &"came before"),
     }
 }
--- a/src/endpoint/tests.rs
+++ b/src/endpoint/tests.rs
@@ -1,5 +1,6 @@
 use super::{
-    AttemptScheduler, Finished, OrderPolicy, Recall, SchedulerAction, SchedulerLimits, Submission,
+    AttemptScheduler, FinishedAttempts, FinishedLookup, OrderPolicy, SchedulerAction,
+    SchedulerLimits, Submission,
 };
 use crate::prelude::*;
 use crate::programs::{
@@ -49,55 +50,56 @@
     AttemptFrame::Failed { cause: FailureCause::Crashed { run: 3 }, spent_tokens: None }
 }
 
-/// A paused owner's attempt arrives after its successor asked about another of the shard, and one
-/// that was meant for the run of this process before. Neither may start.
+/// Two attempts must not start: one from a paused owner that arrives after its successor queried
+/// another attempt of the shard, and one meant for an earlier instance of this process.
 #[test]
-fn attempts_of_replaced_owners_and_for_earlier_runs_are_rejected() {
+fn attempts_from_replaced_owners_or_for_earlier_instances_are_rejected() {
     let mut scheduler = scheduler();
-    let asked = attempt(5, 9).id;
-    assert_eq!(scheduler.query(asked, Instance(7), Epoch(6)), AttemptReport::NeverSeen);
+    let queried = attempt(5, 9).id;
+    assert_eq!(scheduler.query(queried, Instance(7), Epoch(6)), AttemptReport::NeverSeen);
     assert_eq!(scheduler.submit(TimeMs(0), attempt(5, 1)), Submission::Rejected);
     assert_eq!(scheduler.submit(TimeMs(0), attempt(6, 1)), Submission::Accepted);
     let target = EndpointRef { instance: Instance(6), ..me() };
     let earlier = Attempt { target, ..attempt(6, 2) };
     assert_eq!(scheduler.submit(TimeMs(0), earlier), Submission::Rejected);
-    assert_eq!(scheduler.query(asked, Instance(6), Epoch(6)), AttemptReport::Forgotten);
+    assert_eq!(scheduler.query(queried, Instance(6), Epoch(6)), AttemptReport::Forgotten);
 }
 
-/// The owner asks before its own attempt arrives, and is told that it was never seen. The attempt
-/// then comes late: the answer must stay true.
+/// An owner queries its attempt before the attempt arrives, and is told that it was never seen. The
+/// attempt that arrives afterwards must not start, or the report would be wrong.
 #[test]
-fn an_attempt_that_was_reported_as_never_seen_never_starts() {
+fn attempt_reported_as_never_seen_is_rejected_later() {
     let mut scheduler = scheduler();
     let late = attempt(5, 1);
     assert_eq!(scheduler.query(late.id, Instance(7), Epoch(5)), AttemptReport::NeverSeen);
     assert_eq!(scheduler.submit(TimeMs(0), late), Submission::Rejected);
 }
 
-/// The ends of attempts are dropped to bound memory. One whose end was dropped is "forgotten",
-/// never "not seen": it may have run.
+/// Results of attempts are dropped to bound memory. An attempt whose result was dropped may have
+/// run, so it must be reported as forgotten, not as never seen.
 #[test]
-fn a_dropped_end_is_not_mistaken_for_one_that_never_came() {
-    let mut finished = Finished::new(500);
+fn attempt_with_dropped_result_is_reported_as_forgotten() {
+    let mut finished = FinishedAttempts::new(500);
     let done = AttemptFrame::Done { result: TurnResult::Unknown };
-    (1..=10).for_each(|sequence| finished.remember(attempt(5, sequence).id, done.clone()));
-    assert_eq!(finished.recall(attempt(5, 1).id), Recall::Forgotten);
-    assert_eq!(finished.recall(attempt(5, 10).id), Recall::Over(done));
-    assert_eq!(finished.recall(attempt(5, 11).id), Recall::NeverSeen);
-    assert_eq!(finished.recall(attempt(6, 1).id), Recall::NeverSeen);
+    (1..=10).for_each(|sequence| finished.insert_result(attempt(5, sequence).id, done.clone()));
+    assert_eq!(finished.lookup(attempt(5, 1).id), FinishedLookup::Forgotten);
+    assert_eq!(finished.lookup(attempt(5, 10).id), FinishedLookup::Ended(done));
+    assert_eq!(finished.lookup(attempt(5, 11).id), FinishedLookup::NeverSeen);
+    assert_eq!(finished.lookup(attempt(6, 1).id), FinishedLookup::NeverSeen);
 }
 
-/// A suspect starts on an empty engine and nothing starts beside it. It crashes the engine; the
-/// same call of another caller, waiting behind it, is ended without being run.
+/// A suspected call runs alone: it starts only on an idle engine, and nothing starts beside it.
+/// When it crashes the engine, the same call of another caller, queued behind it, must be ended
+/// without being run.
 #[test]
-fn a_suspect_runs_alone_and_its_like_are_not_run_after_it_crashed() {
+fn suspected_call_runs_alone_and_the_same_call_is_not_run_after_its_crash() {
     let mut scheduler = scheduler();
     scheduler.submit(TimeMs(0), attempt(5, 1));
     assert_eq!(started(&scheduler.schedule(TimeMs(0))), [1]);
     let suspect = Attempt { alone: true, ..attempt(5, 2) };
-    let like = Attempt { id: attempt(5, 3).id, ..suspect.clone() };
+    let same_call = Attempt { id: attempt(5, 3).id, ..suspect.clone() };
     scheduler.submit(TimeMs(1), suspect.clone());
-    scheduler.submit(TimeMs(2), like.clone());
+    scheduler.submit(TimeMs(2), same_call.clone());
     assert_eq!(started(&scheduler.schedule(TimeMs(3))), [0; 0]);
     scheduler.record_end(
         TimeMs(4),
@@ -107,32 +109,32 @@
     assert_eq!(started(&scheduler.schedule(TimeMs(5))), [2]);
     scheduler.record_end(TimeMs(6), suspect.id, crashed());
     let actions = scheduler.schedule(TimeMs(7));
-    assert_eq!(actions, [SchedulerAction::End(like.id, crashed_unstarted())]);
+    assert_eq!(actions, [SchedulerAction::End(same_call.id, crashed_unstarted())]);
 }
 
 fn crashed_unstarted() -> AttemptFrame {
     AttemptFrame::Failed { cause: FailureCause::Crashed { run: 3 }, spent_tokens: Some(0) }
 }
 
-/// The message that a program has ended was lost with its sender: its lease runs out, and the
-/// engine's memory is freed.
+/// The message that a program has ended is lost because its sender fails. The program's cache must
+/// still be freed, when its lease expires.
 #[test]
-fn the_cache_of_a_program_that_nobody_uses_is_freed() {
+fn unused_cache_is_freed_when_its_lease_expires() {
     let mut scheduler = scheduler();
     scheduler.submit(TimeMs(0), attempt(5, 1));
     scheduler.schedule(TimeMs(0));
-    assert!(scheduler.schedule(TimeMs(3_000)).is_empty(), "it still runs");
+    assert!(scheduler.schedule(TimeMs(3_000)).is_empty(), "freed while the attempt is running");
     scheduler.record_end(TimeMs(3_100), attempt(5, 1).id, crashed());
     assert_eq!(scheduler.schedule(TimeMs(4_100)), [SchedulerAction::FreeCache("w:p1".into())]);
-    scheduler.found_cached(TimeMs(5_000), "left-by-an-earlier-run");
+    scheduler.adopt_cached(TimeMs(5_000), "left-by-an-earlier-run");
     let freed = scheduler.schedule(TimeMs(6_000));
     assert_eq!(freed, [SchedulerAction::FreeCache("left-by-an-earlier-run".into())]);
 }
 
-/// Short programs of one workspace keep coming. Another's attempt has waited for the longest time
-/// allowed: it goes first, whatever fairness says.
+/// A steady flow of short programs must not starve a long one: an attempt that has waited for the
+/// maximum time goes first, whatever the fairness rules say.
 #[test]
-fn nobody_waits_for_ever() {
+fn overdue_attempt_goes_first_despite_fairness() {
     let mut scheduler = scheduler();
     let starving = Attempt { attained_tokens: 1_000_000, deadline_in_ms: 60_000, ..attempt(5, 1) };
     scheduler.submit(TimeMs(0), attempt(5, 2));
@@ -144,20 +146,21 @@
     assert_eq!(started(&scheduler.schedule(TimeMs(5_200))), [1]);
 }
 
-/// Two programs make the same call. The first crashes the engine; the second finds it down and is
-/// turned away before the crash was noted. It waits for the first one's end and is reported as
-/// crashed with it, so that its owner runs it alone next, and not on the next engine beside others.
+/// Two programs make the same call. The first crashes the engine; the second finds the engine down
+/// and is rejected before the crash is recorded. It must wait for the first one's end and be
+/// reported as crashed too. Otherwise its owner would run it on the next engine beside other calls
+/// instead of alone.
 #[test]
-fn a_call_turned_away_by_a_crash_of_its_like_shares_the_suspicion() {
+fn call_rejected_after_a_crash_of_the_same_call_is_reported_as_crashed() {
     let mut scheduler = scheduler();
     let first = attempt(5, 1);
     let second = Attempt { digest: first.digest, ..attempt(5, 2) };
     scheduler.submit(TimeMs(0), first.clone());
     scheduler.submit(TimeMs(0), second.clone());
     assert_eq!(started(&scheduler.schedule(TimeMs(0))), [1, 2]);
-    assert!(scheduler.turned_away(second.id));
+    assert!(scheduler.mark_engine_rejected(second.id));
     scheduler.record_end(TimeMs(1), first.id, crashed());
-    assert!(!scheduler.turned_away(second.id));
+    assert!(!scheduler.mark_engine_rejected(second.id));
     let rejected = AttemptFrame::Failed { cause: FailureCause::Rejected, spent_tokens: Some(0) };
     assert_eq!(scheduler.record_end(TimeMs(2), second.id, rejected), crashed_unstarted());
 }
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -11,12 +11,12 @@
     ExecutionStatus, FinishReason, Message, Refusal, RefusalReason, Usage, Work,
 };
 
-/// Tokens of a call that names no limit.
+/// Token limit of a completion request that sets none.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
-/// A completion call as existing clients send it.
+/// A chat completion request in the format of existing clients.
 #[derive(Debug, Deserialize)]
-pub(super) struct ChatCall {
+pub(super) struct ChatRequest {
     model: String,
     messages: Vec<Message>,
     max_tokens: Option<u32>,
@@ -27,20 +27,20 @@
     parameters: Map<String, Value>,
 }
 
-/// Fields that the system itself sends to engines.
-const RESERVED: &[&str] = &["request_id", "cache_key", "resume_text", "priority"];
+/// Fields that only the system itself may send to engines; they are removed from requests.
+const RESERVED_FIELDS: &[&str] = &["request_id", "cache_key", "resume_text", "priority"];
 
-impl TryFrom<ChatCall> for Work {
+impl TryFrom<ChatRequest> for Work {
     type Error = ApiErrorCode;
 
-    fn try_from(call: ChatCall) -> Result<Work, ApiErrorCode> {
+    fn try_from(call: ChatRequest) -> Result<Work, ApiErrorCode> {
         let model = ModelName::parse(&call.model).map_err(|_| ApiErrorCode::BadRequest)?;
         if call.messages.is_empty() {
             return Err(ApiErrorCode::BadRequest);
         }
         let max_tokens = call.max_completion_tokens.or(call.max_tokens);
         let mut parameters = call.parameters;
-        parameters.retain(|name, _| !RESERVED.contains(&name.as_str()));
+        parameters.retain(|name, _| !RESERVED_FIELDS.contains(&name.as_str()));
         Ok(Work::Model {
             model,
             messages: call.messages,
@@ -50,36 +50,37 @@
     }
 }
 
-/// What went wrong with a call, as callers see it.
+/// The error codes that callers see.
 #[value]
 #[derive(Copy)]
 pub enum ApiErrorCode {
-    /// No such path or method.
+    /// The path or method is unknown.
     NoSuchCall,
-    /// No key, or one that does not act for any workspace.
+    /// The API key is missing or belongs to no workspace.
     BadKey,
-    /// Malformed headers or body.
+    /// The headers, the path or the body are malformed.
     BadRequest,
-    /// The body is too large.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The body came too slowly.
+    /// The body was not received within the time-out.
     TooSlow,
-    /// The contract does not allow the model or action.
+    /// The workspace's contract does not allow the model or action.
     NotAllowed,
     /// The workspace's rate or burst is used up.
     RateLimited,
-    /// This entry does not know the newest configuration, or is not ready yet.
+    /// This entry is not ready, its configuration is stale, or it could not reach the entry that
+    /// grants the workspace's rate.
     NotReady,
-    /// The key was withdrawn while the call ran.
+    /// The API key was revoked while the call ran.
     KeyWithdrawn,
-    /// Whether an irreversible call ran is not known, and it is not run again.
+    /// Whether the call ran is not known. An irreversible call is not run again.
     OutcomeUnknown,
     /// The program's owner refused.
     Refused(RefusalReason),
 }
 
 impl ApiErrorCode {
-    /// The code as text.
+    /// The code as it is written in answers and metrics.
     pub fn text(self) -> &'static str {
         match self {
             ApiErrorCode::NoSuchCall => "no_such_call",
@@ -132,25 +133,25 @@
     }
 }
 
-/// An error as a caller gets it: what went wrong, whether the call ran, when to come back.
+/// An error as callers get it.
 #[value]
 #[derive(Copy)]
 pub struct ApiError {
-    /// What went wrong.
+    /// The error code.
     pub code: ApiErrorCode,
     /// Whether the call ran.
     pub ran: ExecutionStatus,
-    /// When a repeat can succeed; `None` if it can't.
+    /// Time after which a retry can succeed; `None` if no retry can.
     pub retry_after_ms: Option<u64>,
 }
 
 impl ApiError {
-    /// An error of a call that did not run and is not worth repeating as it is.
+    /// An error for a call that did not run and that can't succeed when retried unchanged.
     pub fn not_run(code: ApiErrorCode) -> ApiError {
         ApiError { code, ran: ExecutionStatus::NotRun, retry_after_ms: None }
     }
 
-    /// The error as JSON.
+    /// The JSON body.
     pub fn body(&self) -> Value {
         json!({ "error": {
             "code": self.code.text(),
@@ -170,11 +171,11 @@
         }
     }
 
-    /// The error as a response.
+    /// The HTTP response.
     pub fn response(&self) -> Response<Body> {
         let mut response = json_response(self.code.status(), &self.body());
         if let Some(retry_after_ms) = self.retry_after_ms {
-            // The header counts whole seconds; the body has the exact time.
+            // `Retry-After` has whole seconds, rounded up; the body has milliseconds.
             let seconds = retry_after_ms.div_ceil(1_000);
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
         }
@@ -213,7 +214,7 @@
     }
 }
 
-/// A whole completion, as existing clients read it.
+/// A complete chat completion in the format of existing clients.
 #[derive(Serialize)]
 pub(super) struct Completion<'a> {
     id: String,
@@ -238,7 +239,7 @@
     }
 }
 
-/// The whole answer.
+/// The body of an answer that is not streamed.
 pub(super) fn completion<'a>(
     program: &ProgramId,
     turn: TurnNo,
@@ -258,7 +259,7 @@
     }
 }
 
-/// A part of a streamed answer.
+/// One chunk of a streamed answer.
 pub(super) fn chunk(program: &ProgramId, model: &str, text: &str) -> Value {
     json!({
         "id": &*program.name,
@@ -268,7 +269,7 @@
     })
 }
 
-/// The part that ends a streamed answer.
+/// The last chunk of a streamed answer, with its finish reason and usage.
 pub(super) fn last_chunk(
     program: &ProgramId,
     turn: TurnNo,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! What callers see: the completion call, the service call, the end of a program.
+//! The HTTP API for callers: chat completions, service actions and the end of programs.
 
 use std::time::Duration;
 
@@ -8,37 +8,37 @@
 use tokio::sync::mpsc;
 
 use crate::contracts::{Contract, KeyDigest, KeyId};
-use crate::entry::answers::Answering;
-use crate::entry::api::{ApiError, ApiErrorCode, ChatCall};
-use crate::entry::forward::{Call, carry};
+use crate::entry::api::{ApiError, ApiErrorCode, ChatRequest};
+use crate::entry::forward::{Call, forward};
 use crate::entry::rates::RateRefusal;
+use crate::entry::responses::ResponseBuilder;
 use crate::entry::state::Entry;
 use crate::http::{Body, json, read_body};
 use crate::prelude::*;
 use crate::programs::{ExecutionStatus, RefusalReason, Reply, TurnRequest, Work};
 
-/// Names the program; without it the call is a program of its own.
+/// The program's name. A call without it forms a program of its own.
 const PROGRAM: HeaderName = HeaderName::from_static("x-trefoil-program");
-/// The call's place in its program, from 1.
+/// The call's turn number within its program, from 1.
 const TURN: HeaderName = HeaderName::from_static("x-trefoil-turn");
-/// The same on every repeat of one call.
+/// The idempotency key, equal on every repeat of one call.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// How long the caller waits.
+/// How long the caller waits for the answer, in milliseconds.
 const DEADLINE_MS: HeaderName = HeaderName::from_static("x-trefoil-deadline-ms");
 
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-const MAX_KEY_BYTES: usize = 256;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 const NOT_READY_RETRY_MS: u64 = 1_000;
-const LOG_RETRY_MS: u64 = 2_000;
+const LOG_UNAVAILABLE_RETRY_MS: u64 = 2_000;
 
-/// Who calls.
+/// An authenticated caller.
 #[value]
 pub(super) struct Caller {
     pub workspace: WorkspaceId,
     pub key: KeyId,
 }
 
-/// What a call's headers say.
+/// The parsed headers of a call.
 struct CallHeaders {
     program: ProgramId,
     turn: Option<TurnNo>,
@@ -46,9 +46,9 @@
     deadline: TimeMs,
 }
 
-/// Answers a caller.
+/// Handles a caller's request. Errors are counted by their code.
 pub(super) async fn handle(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
-    match answer(entry, request).await {
+    match route(entry, request).await {
         Ok(response) => response,
         Err(error) => {
             metrics::counter!("trefoil_refusals", "code" => error.code.text()).increment(1);
@@ -57,30 +57,30 @@
     }
 }
 
-async fn answer(entry: Arc<Entry>, request: Request<Incoming>) -> Result<Response<Body>, ApiError> {
+async fn route(entry: Arc<Entry>, request: Request<Incoming>) -> Result<Response<Body>, ApiError> {
     let path = request.uri().path().to_string();
     let parts: Vec<&str> = path.split('/').skip(1).collect();
     match (request.method().clone(), parts.as_slice()) {
-        (Method::POST, ["v1", "chat", "completions"]) => complete(entry, request).await,
+        (Method::POST, ["v1", "chat", "completions"]) => handle_completion(entry, request).await,
         (Method::POST, ["v1", "services", service, action]) => {
-            serve_action(entry, request, service, action).await
+            handle_action(entry, request, service, action).await
         }
         (Method::DELETE, ["v1", "programs", name @ ..]) if !name.is_empty() => {
-            end_program(entry, request, &name.join("/")).await
+            handle_end(entry, request, &name.join("/")).await
         }
         _ => Err(ApiError::not_run(ApiErrorCode::NoSuchCall)),
     }
 }
 
-async fn complete(
+async fn handle_completion(
     entry: Arc<Entry>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, ApiError> {
     let (caller, contract) = authenticate(&entry, &request)?;
     let headers = read_headers(&entry, &caller, &request)?;
     admit(&entry, &caller, headers.deadline).await?;
-    let body = receive(&entry, request).await?;
-    let call: ChatCall = serde_json::from_slice(&body).map_err(|_| bad_request())?;
+    let body = receive_body(&entry, request).await?;
+    let call: ChatRequest = serde_json::from_slice(&body).map_err(|_| bad_request())?;
     let stream = call.stream;
     let mut work = Work::try_from(call).map_err(ApiError::not_run)?;
     if !contract.allows_model(work.target()) {
@@ -88,10 +88,10 @@
     }
     work.limit_tokens(contract.program.budget_tokens);
     let turn = turn_request(headers, work, &contract);
-    Answering::new(entry, caller, &turn).answer_completion(turn, stream).await
+    ResponseBuilder::new(entry, caller, &turn).completion_response(turn, stream).await
 }
 
-async fn serve_action(
+async fn handle_action(
     entry: Arc<Entry>,
     request: Request<Incoming>,
     service: &str,
@@ -105,7 +105,7 @@
     if !contract.allows_action(&full_name) {
         return Err(ApiError::not_run(ApiErrorCode::NotAllowed));
     }
-    let body = receive(&entry, request).await?;
+    let body = receive_body(&entry, request).await?;
     let body = std::str::from_utf8(&body).map_err(|_| bad_request())?;
     let work = Work::Service {
         service,
@@ -114,10 +114,10 @@
         idempotent: !contract.is_irreversible(&full_name),
     };
     let turn = turn_request(headers, work, &contract);
-    Answering::new(entry, caller, &turn).answer_service(turn).await
+    ResponseBuilder::new(entry, caller, &turn).service_response(turn).await
 }
 
-async fn end_program(
+async fn handle_end(
     entry: Arc<Entry>,
     request: Request<Incoming>,
     name: &str,
@@ -125,8 +125,8 @@
     let (caller, _) = authenticate(&entry, &request)?;
     let program = ProgramId::parse(caller.workspace, name).map_err(|_| bad_request())?;
     let deadline = entry.clock.now().plus(entry.settings.default_deadline_ms);
-    let mut replies = carry(entry, Call::End { program, deadline });
-    match last_reply(&mut replies).await {
+    let mut replies = forward(entry, Call::End { program, deadline });
+    match final_reply(&mut replies).await {
         Some(Reply::Refused(refusal)) => Err(refusal.into()),
         Some(_) => Ok(json(StatusCode::OK, &serde_json::json!({ "ended": name }))),
         None => Err(ApiError {
@@ -137,7 +137,7 @@
     }
 }
 
-async fn last_reply(replies: &mut mpsc::UnboundedReceiver<Reply>) -> Option<Reply> {
+async fn final_reply(replies: &mut mpsc::UnboundedReceiver<Reply>) -> Option<Reply> {
     loop {
         let reply = replies.recv().await?;
         if reply.is_final() {
@@ -150,8 +150,8 @@
     ApiError::not_run(ApiErrorCode::BadRequest)
 }
 
-/// Finds out who calls: the key must act for a workspace, by a configuration that is known to be
-/// fresh. The key itself goes no further than this.
+/// Authenticates the caller: the key must belong to a workspace with a contract, by a configuration
+/// that is known to be fresh. The secret key is not passed on from here, only its public name.
 fn authenticate(
     entry: &Entry,
     request: &Request<Incoming>,
@@ -171,19 +171,19 @@
     Ok((Caller { workspace, key }, contract))
 }
 
-/// Counts a call against its workspace's rate.
+/// Admits a call if its workspace's rate allows it, else counts and returns the refusal.
 async fn admit(entry: &Arc<Entry>, caller: &Caller, deadline: TimeMs) -> Result<(), ApiError> {
-    let refusal = match entry.take_rate(&caller.workspace, deadline).await {
+    let refusal = match entry.acquire_rate(&caller.workspace, deadline).await {
         Ok(()) => return Ok(()),
         Err(refusal) => refusal,
     };
     let workspace = caller.workspace.to_string();
     metrics::counter!("trefoil_rate_refusals", "workspace" => workspace).increment(1);
     let (code, retry_after_ms) = match refusal {
-        RateRefusal::UsedUp { wait_ms } => (ApiErrorCode::RateLimited, wait_ms),
+        RateRefusal::RateExceeded { wait_ms } => (ApiErrorCode::RateLimited, wait_ms),
         RateRefusal::NoLender => (ApiErrorCode::NotReady, NOT_READY_RETRY_MS),
         RateRefusal::LogUnavailable => {
-            (ApiErrorCode::Refused(RefusalReason::LogUnavailable), LOG_RETRY_MS)
+            (ApiErrorCode::Refused(RefusalReason::LogUnavailable), LOG_UNAVAILABLE_RETRY_MS)
         }
     };
     Err(ApiError { retry_after_ms: Some(retry_after_ms), ..ApiError::not_run(code) })
@@ -208,11 +208,11 @@
         Some(turn) => Some(TurnNo(u32::try_from(turn).map_err(|_| bad_request())?)),
         None => named.is_none().then_some(TurnNo(1)),
     };
-    let own = format!("call-{:032x}", rand::random::<u128>());
-    let name = named.unwrap_or(&own);
+    let generated_name = format!("call-{:032x}", rand::random::<u128>());
+    let name = named.unwrap_or(&generated_name);
     let program = ProgramId::parse(caller.workspace.clone(), name).map_err(|_| bad_request())?;
     let idempotency_key = text(&IDEMPOTENCY_KEY)?;
-    if idempotency_key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
+    if idempotency_key.is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         return Err(bad_request());
     }
     let deadline_ms = number(&DEADLINE_MS)?.unwrap_or(entry.settings.default_deadline_ms);
@@ -224,19 +224,19 @@
     })
 }
 
-async fn receive(entry: &Entry, request: Request<Incoming>) -> Result<bytes::Bytes, ApiError> {
+async fn receive_body(entry: &Entry, request: Request<Incoming>) -> Result<bytes::Bytes, ApiError> {
     let max_bytes = entry.settings.max_body_bytes as usize;
     let timeout = Duration::from_millis(entry.settings.receive_timeout_ms);
     Ok(read_body(request.into_body(), max_bytes, timeout).await?)
 }
 
 fn turn_request(headers: CallHeaders, work: Work, contract: &Contract) -> TurnRequest {
-    let asked = serde_json::to_vec(&work).unwrap_or_default();
+    let encoded_work = serde_json::to_vec(&work).unwrap_or_default();
     TurnRequest {
         program: headers.program,
         turn: headers.turn,
         idempotency_key: headers.idempotency_key,
-        digest: Digest::of(&[&asked]),
+        digest: Digest::of(&[&encoded_work]),
         work,
         deadline: headers.deadline,
         limits: contract.program,
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -1,87 +1,92 @@
 use std::time::Duration;
 
 use crate::contracts::{Book, BookSnapshot, ConfigRecord};
-use crate::entry::freshness::{Freshness, PeerConfig, judge};
-use crate::entry::peers::CONFIG;
+use crate::entry::freshness::{Freshness, PeerConfig, evaluate_freshness};
+use crate::entry::peers::CONFIG_PATH;
 use crate::entry::state::Entry;
 use crate::logstore::Page;
 use crate::membership::RoleStatus;
 use crate::prelude::*;
 
-/// The stream that operators publish to.
+/// The log stream that holds the configuration; operators publish changes to it.
 pub const CONFIG_STREAM: &str = "config";
-/// How long a read waits for something new, at most.
+/// Upper bound for the time that a read waits for new records.
 const MAX_READ_WAIT_MS: u64 = 500;
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How far the configuration in force is confirmed.
+/// How recent the configuration in force is known to be, and whether a snapshot is due.
 #[value]
 #[derive(Copy, Default)]
-pub(super) struct Confirmation {
-    /// When the end of the stream was last read, and so this book known to be the newest.
+pub(super) struct ConfigStreamStatus {
+    /// When the newest read was sent that reached the end of the stream, which showed that this
+    /// configuration was the newest.
     pub read_at: Option<TimeMs>,
-    /// When the log took the oldest record that no snapshot stands for.
+    /// When the oldest record was appended that is not covered by a snapshot.
     pub uncovered_since: Option<UnixMs>,
 }
 
-/// Takes note of how old the records are that no snapshot stands for.
-fn note_covered(confirmation: &mut Confirmation, page: &Page<ConfigRecord>) {
+/// Updates the age of the oldest record that is not covered by a snapshot.
+fn update_uncovered_since(status: &mut ConfigStreamStatus, page: &Page<ConfigRecord>) {
     for stored in &page.records {
         match stored.data {
-            ConfigRecord::Snapshot(_) => confirmation.uncovered_since = None,
+            ConfigRecord::Snapshot(_) => status.uncovered_since = None,
             _ => {
-                confirmation.uncovered_since.get_or_insert(stored.time_ms);
+                status.uncovered_since.get_or_insert(stored.time_ms);
             }
         }
     }
 }
 
-/// While the log is out, takes what peers know; before records expire, writes a snapshot for
-/// them. Never returns.
-pub(super) async fn keep(entry: Arc<Entry>) {
+/// Fetches the configuration from a peer while the log is unavailable, and appends a snapshot
+/// before records expire. Never returns.
+pub(super) async fn maintain(entry: Arc<Entry>) {
     loop {
-        tokio::time::sleep(RETRY).await;
-        if let Freshness::Fetch(address) = entry.judge_config() {
-            let fetched = entry.http.get::<BookSnapshot>(address, CONFIG, FETCH_TIMEOUT).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
+        if let Freshness::FetchFrom(address) = entry.config_freshness() {
+            let fetched = entry.http.get::<BookSnapshot>(address, CONFIG_PATH, FETCH_TIMEOUT).await;
             if let Ok(snapshot) = fetched {
-                entry.put_in_force(Book::from(&snapshot));
+                entry.replace_book(Book::from(&snapshot));
             }
         }
-        if entry.owes_snapshot() {
+        if entry.should_write_snapshot() {
             let record = ConfigRecord::Snapshot(entry.current_book().snapshot());
             if entry.log.append(CONFIG_STREAM, &[record]).await.is_ok() {
-                entry.confirmation().uncovered_since = None;
+                entry.config_stream_status().uncovered_since = None;
             }
         }
     }
 }
 
-/// Keeps the book level with the log. Never returns.
+/// Follows the configuration stream and applies its records. Never returns.
 ///
-/// A configuration is confirmed as of the question, so that two waits pass before an idle stream
-/// confirms it anew: a wait must stay well below the time that it may go unconfirmed.
-pub(super) async fn follow(entry: Arc<Entry>) {
+/// A read confirms the configuration as of the time at which the read was sent. On an idle stream
+/// a confirmation is therefore up to two waits old before the next one comes, so a wait is at most
+/// a quarter of the time after which an unconfirmed configuration is stale.
+pub(super) async fn follow_stream(entry: Arc<Entry>) {
     let wait_ms = MAX_READ_WAIT_MS.min(entry.settings.config_stale_ms / 4);
     let wait = Duration::from_millis(wait_ms);
     loop {
         let from = entry.current_book().through().plus(1);
-        let asked = entry.clock.now();
+        let sent_at = entry.clock.now();
         match entry.log.read::<ConfigRecord>(CONFIG_STREAM, from, wait).await {
             Ok(page) => {
-                entry.note_log(true);
-                take(&entry, asked, from, &page);
+                entry.record_log_result(true);
+                apply_page(&entry, sent_at, from, &page);
             }
             Err(fault) => {
-                entry.note_log(false);
-                log::warn!(fault:?; "the configuration could not be read");
-                tokio::time::sleep(RETRY).await;
+                entry.record_log_result(false);
+                log::warn!(
+                    fault:?;
+                    "cannot read the configuration stream; retrying in {RETRY_INTERVAL:?}"
+                );
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-fn take(entry: &Entry, asked: TimeMs, from: Offset, page: &Page<ConfigRecord>) {
+fn apply_page(entry: &Entry, sent_at: TimeMs, from: Offset, page: &Page<ConfigRecord>) {
     let records = page.records.iter().map(|stored| (stored.offset, &stored.data));
     let book = match page.earliest > from {
         true => Book::of_stream(page.earliest, records),
@@ -94,20 +99,24 @@
         }
     };
     let Some(book) = book else {
-        log::error!(earliest = page.earliest.0; "configuration records expired unread");
+        log::error!(
+            earliest = page.earliest.0;
+            "configuration records expired unread; keeping the configuration in force"
+        );
         return;
     };
     if page.at_end() {
-        // What was accepted after the question may be missing: it is fresh as of the question.
-        entry.confirmation().read_at = Some(asked);
+        // Records accepted after the read was sent may be missing from it, so the configuration
+        // counts as confirmed at that time, not at the time of the answer.
+        entry.config_stream_status().read_at = Some(sent_at);
     }
-    note_covered(&mut entry.confirmation(), page);
-    entry.put_in_force(book);
+    update_uncovered_since(&mut entry.config_stream_status(), page);
+    entry.replace_book(book);
 }
 
 impl Entry {
-    /// Puts a book in force, unless that would take the configuration back.
-    fn put_in_force(&self, book: Book) {
+    /// Replaces the configuration in force if the given one is newer.
+    fn replace_book(&self, book: Book) {
         let through = book.through();
         let is_newer = self.book.send_if_modified(|current| {
             let is_newer = through > current.through();
@@ -121,44 +130,50 @@
         }
     }
 
-    /// Whether it is for this entry to write a snapshot: records are half-way to their end, and
-    /// no other entry comes before it. Two that think so only write one too many.
-    fn owes_snapshot(&self) -> bool {
-        let Some(since) = self.confirmation().uncovered_since else {
+    /// Whether this entry should append a snapshot: the oldest uncovered record has reached half
+    /// the retention period, and this entry's VM name sorts before those of all live entries. If
+    /// two entries both conclude so, there is one snapshot too many, which does no harm.
+    fn should_write_snapshot(&self) -> bool {
+        let Some(since) = self.config_stream_status().uncovered_since else {
             return false;
         };
         let due = self.clock.unix().since(since) >= self.settings.log_retention_ms / 2;
         due && self.peers().live_entries().all(|peer| peer.heartbeat.vm > *self.vm())
     }
 
-    /// Whether callers may be let in by the configuration in force.
+    /// Whether the configuration in force is fresh enough to admit callers.
     pub fn config_is_fresh(&self) -> bool {
-        self.judge_config() == Freshness::Fresh
+        self.config_freshness() == Freshness::Fresh
     }
 
-    fn judge_config(&self) -> Freshness {
-        let own = (self.current_book().through(), self.config_age_ms());
+    fn config_freshness(&self) -> Freshness {
+        let local = (self.current_book().through(), self.config_age_ms());
         let now = self.clock.now();
         let peers = self.peers();
-        let standstill = self.standstill();
-        let entries = peers.live_entries().filter_map(|peer| {
-            let said_ago_ms = standstill.age_ms(now, peer.heard_at)?;
+        let pause_detector = self.pause_detector();
+        let entry_configs = peers.live_entries().filter_map(|peer| {
+            let max_message_age_ms = pause_detector.max_age_ms(now, peer.heard_at)?;
             match &peer.heartbeat.role_status {
                 RoleStatus::Entry { config, log_age_ms, .. } => Some(PeerConfig {
                     config: *config,
-                    age_ms: log_age_ms.map(|age_ms| age_ms + said_ago_ms),
+                    age_ms: log_age_ms.map(|age_ms| age_ms + max_message_age_ms),
                     address: peer.heartbeat.address,
                 }),
                 RoleStatus::Endpoint { .. } => None,
             }
         });
-        let entries: Vec<PeerConfig> = entries.collect();
-        judge(own, self.settings.config_stale_ms, &entries, peers.listed_entries())
+        let entry_configs: Vec<PeerConfig> = entry_configs.collect();
+        evaluate_freshness(
+            local,
+            self.settings.config_stale_ms,
+            &entry_configs,
+            peers.listed_entries(),
+        )
     }
 
-    /// How long ago the configuration was known to be the newest.
+    /// How long ago the configuration was last confirmed to be the newest; `None` if never.
     pub fn config_age_ms(&self) -> Option<u64> {
-        let read_at = self.confirmation().read_at?;
+        let read_at = self.config_stream_status().read_at?;
         Some(self.clock.now().since(read_at))
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -4,57 +4,61 @@
 use tokio::sync::mpsc;
 
 use crate::contracts::ConfigRecord;
-use crate::entry::state::{Entry, Ownership, Place};
-use crate::entry::surroundings::EntrySurroundings;
+use crate::entry::environment::EntryEnvironment;
+use crate::entry::state::{Entry, OwnedShard, ShardLocation};
 use crate::entry::tasks;
 use crate::prelude::*;
 use crate::programs::{
     Action, CallId, Event, OwnerLimits, Refusal, RefusalReason, Reply, ShardOwner, TurnRequest,
 };
 
-/// Time between two ticks of the owners.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval at which every shard owner of this entry gets a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time between two shards that are given up for balance.
-const REBALANCE_MS: u64 = 500;
+/// Minimum time between two shards that are released for balance.
+const REBALANCE_INTERVAL_MS: u64 = 500;
 
-/// What the core is told.
+/// A message to the core task.
 pub(super) enum Command {
-    /// A caller's turn, for a shard of this entry.
+    /// Run a caller's turn. Its program belongs to a shard that this entry should own.
     Turn { request: TurnRequest, replies: mpsc::UnboundedSender<Reply> },
-    /// A caller ends a program.
+    /// End a program on a caller's behalf.
     End { program: ProgramId, replies: mpsc::UnboundedSender<Reply> },
-    /// Something happened to what an owner asked for. The nonce tells which owner of the shard:
-    /// one that was lost must not get the answers meant for its successor, nor the reverse.
-    Owner { shard: ShardId, nonce: u64, event: Event },
-    /// Something that all entries have to learn of.
+    /// The result of an action that a shard owner requested. The nonce identifies the owner: an
+    /// entry can lose a shard and claim it again, and a result for the earlier owner must not
+    /// reach the later one.
+    OwnerEvent { shard: ShardId, nonce: u64, event: Event },
+    /// Append a record to the configuration stream, which all entries read.
     Publish(ConfigRecord),
-    /// Make sure that a shard is still this entry's, or claim it if it falls to this entry.
-    Confirm { shard: ShardId },
-    /// Give up every shard.
-    HandOver,
+    /// Confirm with the log that this entry still owns a shard, or claim the shard if this entry
+    /// is the one to own it.
+    ConfirmOwnership { shard: ShardId },
+    /// Release every shard.
+    ReleaseAll,
 }
 
-struct Owned {
+struct RunningOwner {
     owner: ShardOwner,
     nonce: u64,
 }
 
-/// The one task that holds the owners of this entry's shards.
+/// The task that drives the owners of this entry's shards. It alone holds them, so they need no
+/// lock.
 pub(super) struct Core {
     entry: Arc<Entry>,
-    owners: HashMap<ShardId, Owned>,
+    owners: HashMap<ShardId, RunningOwner>,
     calls: HashMap<CallId, mpsc::UnboundedSender<Reply>>,
     next_call: u64,
     limits: OwnerLimits,
-    rebalanced: TimeMs,
+    last_rebalance: TimeMs,
 }
 
 impl Core {
     pub fn new(entry: Arc<Entry>) -> Core {
         let settings = &entry.settings;
         let limits = OwnerLimits {
-            // Half the retention leaves the other half for a log that is out or slow.
+            // Snapshots are written at half the retention period, so that the other half remains
+            // for a log that is unavailable or slow.
             snapshot_age_ms: settings.log_retention_ms / 2,
             program_idle_ms: settings.program_idle_ms,
             tombstone_ms: settings.log_retention_ms,
@@ -67,18 +71,18 @@
             calls: HashMap::new(),
             next_call: 0,
             limits,
-            rebalanced: TimeMs(0),
+            last_rebalance: TimeMs(0),
         }
     }
 
-    /// Runs until every sender of commands is gone.
+    /// Runs until every command sender is dropped.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 command = commands.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
@@ -86,137 +90,142 @@
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Turn { request, replies } => self.turn(request, replies),
             Command::End { program, replies } => self.end(program, replies),
-            Command::Owner { shard, nonce, event } => self.event(shard, nonce, event),
+            Command::OwnerEvent { shard, nonce, event } => {
+                self.handle_owner_event(shard, nonce, event)
+            }
             Command::Publish(record) => {
                 tokio::spawn(tasks::publish(self.entry.clone(), record));
             }
-            Command::Confirm { shard } => {
-                if self.take_shard(shard) {
+            Command::ConfirmOwnership { shard } => {
+                if self.ensure_owner(shard) {
                     self.handle(shard, Event::ConfirmOwnership);
                 }
             }
-            Command::HandOver => self.hand_over(),
+            Command::ReleaseAll => self.release_all(),
         }
     }
 
     fn turn(&mut self, request: TurnRequest, replies: mpsc::UnboundedSender<Reply>) {
         let shard = request.program.shard(self.entry.settings.shards);
-        self.take_call(shard, replies, |call| Event::Request { call, request });
+        self.handle_call(shard, replies, |call| Event::Request { call, request });
     }
 
     fn end(&mut self, program: ProgramId, replies: mpsc::UnboundedSender<Reply>) {
         let shard = program.shard(self.entry.settings.shards);
-        self.take_call(shard, replies, |call| Event::End { call, program });
+        self.handle_call(shard, replies, |call| Event::End { call, program });
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         shard: ShardId,
         replies: mpsc::UnboundedSender<Reply>,
         event: impl FnOnce(CallId) -> Event,
     ) {
-        if !self.take_shard(shard) {
+        if !self.ensure_owner(shard) {
             let refusal = Refusal::not_run(RefusalReason::NotOwner).retry_after(0);
             let _ = replies.send(Reply::Refused(refusal));
             return;
         }
-        let call = self.register(replies);
+        let call = self.register_call(replies);
         self.handle(shard, event(call));
     }
 
-    fn register(&mut self, replies: mpsc::UnboundedSender<Reply>) -> CallId {
+    fn register_call(&mut self, replies: mpsc::UnboundedSender<Reply>) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.calls.insert(call, replies);
         call
     }
 
-    /// Makes sure that this entry has an owner for the shard, if it is the one to own it.
-    fn take_shard(&mut self, shard: ShardId) -> bool {
+    /// Creates an owner that claims the shard, unless there is one already. Returns `false` if
+    /// another entry should own the shard, or this one is not ready or is leaving.
+    fn ensure_owner(&mut self, shard: ShardId) -> bool {
         if self.owners.contains_key(&shard) {
             return true;
         }
         if !self.entry.is_ready()
             || self.entry.is_leaving()
-            || self.entry.locate(shard) != Place::Here
+            || self.entry.locate(shard) != ShardLocation::Local
         {
             return false;
         }
         let nonce = rand::random();
         let vm = self.entry.vm().clone();
         let owner = ShardOwner::new(shard, vm, self.entry.instance, nonce, self.limits);
-        self.owners.insert(shard, Owned { owner, nonce });
-        log::info!(shard = shard.0; "claiming a shard");
+        self.owners.insert(shard, RunningOwner { owner, nonce });
+        log::info!(shard = shard.0; "claiming the shard");
         self.handle(shard, Event::Claim);
         true
     }
 
-    fn event(&mut self, shard: ShardId, nonce: u64, event: Event) {
-        let meant = self.owners.get(&shard).is_some_and(|owned| owned.nonce == nonce);
-        if meant {
+    fn handle_owner_event(&mut self, shard: ShardId, nonce: u64, event: Event) {
+        let is_current = self.owners.get(&shard).is_some_and(|running| running.nonce == nonce);
+        if is_current {
             self.handle(shard, event);
         }
     }
 
     fn handle(&mut self, shard: ShardId, event: Event) {
-        let Some(owned) = self.owners.get_mut(&shard) else {
+        let Some(running) = self.owners.get_mut(&shard) else {
             return;
         };
         let clock = self.entry.clock;
-        let mut surroundings = EntrySurroundings(&self.entry);
-        let actions = owned.owner.handle(clock.now(), clock.unix(), event, &mut surroundings);
-        let nonce = owned.nonce;
-        self.note_tenure(shard);
-        actions.into_iter().for_each(|action| self.carry_out(shard, nonce, action));
+        let mut env = EntryEnvironment(&self.entry);
+        let actions = running.owner.handle(clock.now(), clock.unix(), event, &mut env);
+        let nonce = running.nonce;
+        self.update_owned_shard(shard);
+        actions.into_iter().for_each(|action| self.execute(shard, nonce, action));
     }
 
-    /// Shows others which shards this entry owns, and drops owners that have lost theirs.
-    fn note_tenure(&mut self, shard: ShardId) {
-        let Some(owned) = self.owners.get(&shard) else {
+    /// Updates the table of owned shards, which heartbeats and lenders read, after the owner
+    /// handled an event. Removes an owner that has lost its shard.
+    fn update_owned_shard(&mut self, shard: ShardId) {
+        let Some(running) = self.owners.get(&shard) else {
             return;
         };
-        let ownership = owned.owner.ownership();
+        let ownership = running.owner.ownership();
         if ownership.is_lost() {
-            log::info!(shard = shard.0; "lost a shard");
+            log::info!(shard = shard.0; "no longer owns the shard");
             self.owners.remove(&shard);
-            self.entry.owned().remove(&shard);
-            self.entry.lenders().close(shard);
+            self.entry.owned_shards().remove(&shard);
+            self.entry.lenders().remove(shard);
             return;
         }
-        let confirmed = owned.owner.confirmed_at();
-        if let Some((epoch, confirmed)) = ownership.epoch().zip(confirmed) {
-            let before = self.entry.owned().insert(shard, Ownership { epoch, confirmed });
+        let confirmed_at = running.owner.confirmed_at();
+        if let Some((epoch, confirmed_at)) = ownership.epoch().zip(confirmed_at) {
+            let before =
+                self.entry.owned_shards().insert(shard, OwnedShard { epoch, confirmed_at });
             if before.is_none() {
-                log::info!(shard = shard.0, epoch = epoch.0; "owning a shard");
+                log::info!(shard = shard.0, epoch = epoch.0; "now owns the shard");
                 let now = self.entry.clock.now();
-                self.entry.lenders().open(now, shard, owned.owner.predecessor());
+                self.entry.lenders().add(now, shard, running.owner.predecessor());
             }
         }
         if ownership.is_releasing() {
-            self.entry.lenders().close(shard);
+            self.entry.lenders().remove(shard);
         }
     }
 
-    fn carry_out(&mut self, shard: ShardId, nonce: u64, action: Action) {
-        let back = tasks::Back { entry: self.entry.clone(), shard, nonce };
+    fn execute(&mut self, shard: ShardId, nonce: u64, action: Action) {
+        let owner = tasks::OwnerHandle { entry: self.entry.clone(), shard, nonce };
         match action {
-            Action::Append(records) => drop(tokio::spawn(tasks::append(back, records))),
-            Action::Wake { in_ms } => drop(tokio::spawn(tasks::wake(back, in_ms))),
-            Action::Read(from) => drop(tokio::spawn(tasks::read(back, from))),
-            Action::Dispatch(attempt) => drop(tokio::spawn(tasks::dispatch(back, attempt))),
+            Action::Append(records) => drop(tokio::spawn(tasks::append(owner, records))),
+            Action::Wake { in_ms } => drop(tokio::spawn(tasks::wake(owner, in_ms))),
+            Action::Read(from) => drop(tokio::spawn(tasks::read(owner, from))),
+            Action::Dispatch(attempt) => drop(tokio::spawn(tasks::dispatch(owner, attempt))),
             Action::QueryAttempt { attempt, endpoint, epoch } => {
-                tokio::spawn(tasks::ask(back, attempt, endpoint, epoch));
+                tokio::spawn(tasks::query_attempt(owner, attempt, endpoint, epoch));
             }
             Action::Cancel { attempt, endpoint } => {
-                tokio::spawn(tasks::cancel(back, attempt, endpoint));
+                tokio::spawn(tasks::cancel(owner, attempt, endpoint));
             }
             Action::FreeCache { program } => {
                 if let Some(endpoint) = self.entry.router().remove_program(&program) {
-                    tokio::spawn(tasks::free(back, program, endpoint));
+                    tokio::spawn(tasks::free(owner, program, endpoint));
                 }
             }
             Action::Reply { call, reply } => self.reply(call, reply),
@@ -228,14 +237,14 @@
         let Some(replies) = self.calls.get(&call) else {
             return;
         };
-        let gives_up = matches!(
+        let is_crash_refusal = matches!(
             reply,
             Reply::Refused(Refusal { reason: RefusalReason::CrashesEndpoints, .. })
         );
-        match gives_up {
+        match is_crash_refusal {
             true => {
                 let entry = self.entry.clone();
-                tokio::spawn(tasks::reply_when_recorded(entry, replies.clone(), reply));
+                tokio::spawn(tasks::reply_once_crashes_recorded(entry, replies.clone(), reply));
             }
             false => drop(replies.send(reply)),
         }
@@ -245,40 +254,44 @@
     }
 
     fn tick(&mut self) {
-        self.drop_gone_callers();
+        self.remove_disconnected_callers();
         let shards: Vec<ShardId> = self.owners.keys().copied().collect();
         shards.into_iter().for_each(|shard| self.handle(shard, Event::Tick));
         self.rebalance();
     }
 
-    /// Gives an idle shard up when this entry owns far more than its part and another would be
-    /// picked for it. Entries that join late own nothing otherwise: shards move only at a death.
+    /// Releases one idle shard if this entry owns more than one and a half times its equal share
+    /// and another entry is preferred for that shard. Shards move otherwise only when their owner
+    /// dies or leaves, so an entry that joins late would own none.
     fn rebalance(&mut self) {
         let now = self.entry.clock.now();
-        if now.since(self.rebalanced) < REBALANCE_MS || self.entry.is_leaving() {
+        if now.since(self.last_rebalance) < REBALANCE_INTERVAL_MS || self.entry.is_leaving() {
             return;
         }
-        self.rebalanced = now;
+        self.last_rebalance = now;
         let entries = 1 + self.entry.peers().live_entries().count();
-        let part = usize::from(self.entry.settings.shards).div_ceil(entries);
-        if self.owners.len() <= part + part / 2 {
+        let equal_share = usize::from(self.entry.settings.shards).div_ceil(entries);
+        if self.owners.len() <= equal_share + equal_share / 2 {
             return;
         }
-        let is_idle = |owned: &Owned| {
-            owned.owner.ownership().is_owning() && owned.owner.active_turns().next().is_none()
+        let is_idle = |running: &RunningOwner| {
+            running.owner.ownership().is_owning() && running.owner.active_turns().next().is_none()
         };
-        let idle = self.owners.iter().filter(|(_, owned)| is_idle(owned)).map(|(shard, _)| *shard);
-        let elsewhere = idle.into_iter().find(|shard| self.entry.preferred(*shard) != Place::Here);
-        if let Some(shard) = elsewhere {
+        let idle =
+            self.owners.iter().filter(|(_, running)| is_idle(running)).map(|(shard, _)| *shard);
+        let shard_to_release = idle
+            .into_iter()
+            .find(|shard| self.entry.preferred_owner(*shard) != ShardLocation::Local);
+        if let Some(shard) = shard_to_release {
             self.handle(shard, Event::Release);
         }
     }
 
-    fn drop_gone_callers(&mut self) {
-        let gone: Vec<CallId> =
+    fn remove_disconnected_callers(&mut self) {
+        let disconnected: Vec<CallId> =
             self.calls.iter().filter(|(_, r)| r.is_closed()).map(|(call, _)| *call).collect();
         let shards: Vec<ShardId> = self.owners.keys().copied().collect();
-        for call in gone {
+        for call in disconnected {
             self.calls.remove(&call);
             for shard in &shards {
                 self.handle(*shard, Event::CallerGone { call });
@@ -286,7 +299,7 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn release_all(&mut self) {
         let shards: Vec<ShardId> = self.owners.keys().copied().collect();
         shards.into_iter().for_each(|shard| self.handle(shard, Event::Release));
     }
--- a/src/entry/surroundings.rs
+++ b/src/entry/environment.rs
@@ -5,10 +5,10 @@
 use crate::programs::{CrashStatus, OwnerEnvironment, PlaceRefusal, PlaceRequest};
 use crate::routing::EndpointView;
 
-/// An entry as the owners of its shards see it.
-pub(super) struct EntrySurroundings<'a>(pub &'a Entry);
+/// What an entry provides to the owners of its shards.
+pub(super) struct EntryEnvironment<'a>(pub &'a Entry);
 
-impl OwnerEnvironment for EntrySurroundings<'_> {
+impl OwnerEnvironment for EntryEnvironment<'_> {
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal> {
         let domain = self.0.settings.process.failure_domain.clone();
         let peers = self.0.peers();
@@ -16,7 +16,7 @@
         let mut views: Vec<EndpointView> =
             live.filter_map(|peer| EndpointView::from_peer(peer, &domain)).collect();
         if request.is_suspect {
-            self.leave_out_crashed(request, &mut views);
+            self.exclude_crashed_endpoints(request, &mut views);
         }
         self.0.router().place(self.0.clock.now(), request, &views)
     }
@@ -26,24 +26,24 @@
     }
 
     fn record_crash(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
-        self.0.note_crash(workspace, digest, crash.clone());
-        self.0.owe_crash_record();
+        self.0.add_local_crash(workspace, digest, crash.clone());
+        self.0.add_pending_crash_record();
         let record = ConfigRecord::Suspect { workspace: workspace.clone(), digest: *digest, crash };
         let _ = self.0.commands.send(Command::Publish(record));
     }
 
     fn clear_suspect(&mut self, workspace: &WorkspaceId, digest: &Digest) {
-        self.0.forget_crashes(workspace, digest);
+        self.0.remove_local_crashes(workspace, digest);
         let record = ConfigRecord::Cleared { workspace: workspace.clone(), digest: *digest };
         let _ = self.0.commands.send(Command::Publish(record));
     }
 
     fn record_success(&mut self, workspace: &WorkspaceId) {
-        self.0.retries().record_success(workspace);
+        self.0.retry_budget().record_success(workspace);
     }
 
     fn try_acquire_retry(&mut self, workspace: &WorkspaceId) -> bool {
-        self.0.retries().try_acquire(workspace)
+        self.0.retry_budget().try_acquire(workspace)
     }
 
     fn reserve_append(&mut self) -> u64 {
@@ -55,11 +55,12 @@
     }
 }
 
-impl EntrySurroundings<'_> {
-    /// Leaves out the endpoints that crashed under a suspected call. All entries know of the same
-    /// crashes, and so pick the same endpoint for it, whichever they tried themselves; and a VM
-    /// that crashes by itself does not convict it.
-    fn leave_out_crashed(&self, request: &PlaceRequest<'_>, views: &mut Vec<EndpointView>) {
+impl EntryEnvironment<'_> {
+    /// Excludes the endpoints that crashed while they ran a suspected call, unless none would
+    /// remain. All entries know the same crashes and so choose the same endpoint for the call,
+    /// whichever endpoints they tried themselves. Choosing another VM also keeps a call from
+    /// being blamed for a VM that crashes for reasons of its own.
+    fn exclude_crashed_endpoints(&self, request: &PlaceRequest<'_>, views: &mut Vec<EndpointView>) {
         let crashed = self.0.crashed_vms(&request.program.workspace, request.digest);
         if views.iter().any(|view| !crashed.contains(&view.endpoint.vm)) {
             views.retain(|view| !crashed.contains(&view.endpoint.vm));
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Carries a call to the entry that owns its program, and the replies back.
+//! Forwards a call to the entry that owns its program's shard, and the replies back.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,50 +10,51 @@
 use tokio::sync::mpsc;
 
 use crate::entry::core::Command;
-use crate::entry::state::{Entry, Place};
-use crate::entry::wire::TurnMessage;
+use crate::entry::state::{Entry, ShardLocation};
+use crate::entry::turn_message::TurnMessage;
 use crate::http::{CallError, LineReader};
 use crate::prelude::*;
 use crate::programs::{ExecutionStatus, Refusal, RefusalReason, Reply, TurnRequest};
 
-/// Where entries take turns for their shards.
-pub(super) const TURNS: &str = "/turns";
-/// Where entries take the end of programs of their shards.
-pub(super) const ENDS: &str = "/ends";
+/// Path on which entries accept turns for their shards from other entries.
+pub(super) const TURNS_PATH: &str = "/turns";
+/// Path on which entries accept the end of programs of their shards from other entries.
+pub(super) const ENDS_PATH: &str = "/ends";
 
-/// The longest reply that another entry sends.
+/// Maximum size of one reply from another entry.
 const MAX_LINE_BYTES: usize = 64 << 20;
-/// How often a call that waits looks whether its owner is still there.
-const OWNER_CHECK: Duration = Duration::from_millis(50);
-/// The owner itself refuses at the deadline; this is for one that can't.
+/// Interval at which a waiting call checks whether the entry it waits for may still own the shard.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after the deadline at which the forwarding entry gives up. The owner itself refuses at the
+/// deadline; this covers an owner that can't answer.
 const DEADLINE_GRACE_MS: u64 = 500;
-const FIRST_BACKOFF_MS: u64 = 20;
+const INITIAL_BACKOFF_MS: u64 = 20;
 const MAX_BACKOFF_MS: u64 = 250;
 
-/// A call that an owner can take.
+/// A request to a shard's owner.
 pub(super) enum Call {
     Turn(TurnRequest),
     End { program: ProgramId, deadline: TimeMs },
 }
 
-/// How one try at reaching the owner went.
-enum Relay {
-    /// The final reply was passed on, or nobody waits for it any more.
+/// The outcome of one attempt to forward a call to the owner.
+enum RelayOutcome {
+    /// The final reply was passed on, or the caller has gone.
     Finished,
-    /// The call certainly did not run there.
-    NotThere,
-    /// The owner was lost with the call, which may have run.
-    Cut,
+    /// The call certainly did not run at that entry.
+    NotRun,
+    /// The owner failed or was replaced before its final reply, so the call may have run.
+    OutcomeUnknown,
 }
 
-/// Starts to carry a call; its replies come through the channel.
-pub(super) fn carry(entry: Arc<Entry>, call: Call) -> mpsc::UnboundedReceiver<Reply> {
+/// Starts forwarding a call; its replies arrive on the returned channel.
+pub(super) fn forward(entry: Arc<Entry>, call: Call) -> mpsc::UnboundedReceiver<Reply> {
     let (replies, receiver) = mpsc::unbounded_channel();
-    tokio::spawn(async move { Carrier { entry, call, replies, delivered: false }.run().await });
+    tokio::spawn(async move { Forwarder { entry, call, replies, delivered: false }.run().await });
     receiver
 }
 
-struct Carrier {
+struct Forwarder {
     entry: Arc<Entry>,
     call: Call,
     replies: mpsc::UnboundedSender<Reply>,
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Whether the owner recognises a repeat, so that the call may be carried there again even
-    /// though it may have run.
-    fn is_recognised(&self) -> bool {
+    /// Whether the owner detects a repeat of this call, so that it can be sent again although it
+    /// may have run.
+    fn is_repeat_detected(&self) -> bool {
         match self {
             Call::Turn(request) => request.turn.is_some() || request.idempotency_key.is_some(),
             Call::End { .. } => true,
@@ -85,30 +86,32 @@
     }
 }
 
-impl Carrier {
-    /// Tries until the owner has given its final reply or the deadline has passed. Only the way
-    /// to the owner is tried again here; attempts at endpoints are the owner's alone to repeat.
+impl Forwarder {
+    /// Forwards the call until the owner has sent its final reply or the deadline is near. Only the
+    /// forwarding is retried here; attempts at endpoints are retried by the owner alone.
     async fn run(mut self) {
-        let mut backoff_ms = FIRST_BACKOFF_MS;
+        let mut backoff_ms = INITIAL_BACKOFF_MS;
         loop {
             let shard = self.call.program().shard(self.entry.settings.shards);
             let relay = match self.entry.locate(shard) {
-                Place::Here => self.relay_here().await,
-                Place::There(vm, address) => self.relay_there(&vm, address).await,
+                ShardLocation::Local => self.relay_local().await,
+                ShardLocation::Remote(vm, address) => self.relay_remote(&vm, address).await,
             };
-            let may_repeat = !self.delivered && self.call.is_recognised();
+            let may_repeat = !self.delivered && self.call.is_repeat_detected();
             match relay {
-                Relay::Finished => return,
-                Relay::Cut if !may_repeat => {
-                    return self.refuse(self.owner_lost());
+                RelayOutcome::Finished => return,
+                RelayOutcome::OutcomeUnknown if !may_repeat => {
+                    return self.refuse(self.owner_lost_refusal());
                 }
-                Relay::Cut | Relay::NotThere => {}
+                RelayOutcome::OutcomeUnknown | RelayOutcome::NotRun => {}
             }
             let retry_at = self.entry.clock.now().plus(backoff_ms);
             if retry_at >= self.call.deadline() {
                 let refusal = match relay {
-                    Relay::NotThere => Refusal::not_run(RefusalReason::NotOwner),
-                    Relay::Cut | Relay::Finished => return self.refuse(self.owner_lost()),
+                    RelayOutcome::NotRun => Refusal::not_run(RefusalReason::NotOwner),
+                    RelayOutcome::OutcomeUnknown | RelayOutcome::Finished => {
+                        return self.refuse(self.owner_lost_refusal());
+                    }
                 };
                 return self.refuse(refusal.retry_after(MAX_BACKOFF_MS));
             }
@@ -117,10 +120,11 @@
         }
     }
 
-    /// The owner was lost with the call. A repeat that it recognises is worth sending.
-    fn owner_lost(&self) -> Refusal {
+    /// The refusal for a call whose owner failed before its final reply. It suggests a retry only
+    /// if the next owner would detect the repeat.
+    fn owner_lost_refusal(&self) -> Refusal {
         let refusal = Refusal::unknown(RefusalReason::OwnerLost);
-        match self.call.is_recognised() {
+        match self.call.is_repeat_detected() {
             true => refusal.retry_after(MAX_BACKOFF_MS),
             false => refusal,
         }
@@ -130,24 +134,24 @@
         let _ = self.replies.send(Reply::Refused(refusal));
     }
 
-    async fn relay_here(&mut self) -> Relay {
+    async fn relay_local(&mut self) -> RelayOutcome {
         let (replies, mut receiver) = mpsc::unbounded_channel();
         let command = match &self.call {
             Call::Turn(request) => Command::Turn { request: request.clone(), replies },
             Call::End { program, .. } => Command::End { program: program.clone(), replies },
         };
         if self.entry.commands.send(command).is_err() {
-            return Relay::NotThere;
+            return RelayOutcome::NotRun;
         }
         loop {
             let reply = tokio::select! {
                 reply = receiver.recv() => reply,
-                () = self.replies.closed() => return Relay::Finished,
+                () = self.replies.closed() => return RelayOutcome::Finished,
             };
             match reply {
-                None => return Relay::Cut,
+                None => return RelayOutcome::OutcomeUnknown,
                 Some(reply) => {
-                    if let Some(relay) = self.pass_on(reply) {
+                    if let Some(relay) = self.pass_reply(reply) {
                         return relay;
                     }
                 }
@@ -155,75 +159,78 @@
         }
     }
 
-    /// Passes a reply on; returns how the try went if that was the last one.
-    fn pass_on(&mut self, reply: Reply) -> Option<Relay> {
+    /// Passes a reply on to the caller. Returns the outcome if no further reply is to be read.
+    fn pass_reply(&mut self, reply: Reply) -> Option<RelayOutcome> {
         if let Reply::Refused(Refusal { reason: RefusalReason::NotOwner, ran, .. }) = &reply {
             return Some(match ran {
-                ExecutionStatus::NotRun => Relay::NotThere,
-                ExecutionStatus::Ran | ExecutionStatus::Unknown => Relay::Cut,
+                ExecutionStatus::NotRun => RelayOutcome::NotRun,
+                ExecutionStatus::Ran | ExecutionStatus::Unknown => RelayOutcome::OutcomeUnknown,
             });
         }
         let is_final = reply.is_final();
         self.delivered = true;
-        let gone = self.replies.send(reply).is_err();
-        (is_final || gone).then_some(Relay::Finished)
+        let is_closed = self.replies.send(reply).is_err();
+        (is_final || is_closed).then_some(RelayOutcome::Finished)
     }
 
-    /// Carries the call to another entry. A frozen owner keeps its connections open and answers
-    /// nothing: the call must not wait for it once others count it as gone, or own its shard.
-    async fn relay_there(&mut self, vm: &VmName, address: SocketAddr) -> Relay {
+    /// Forwards the call to another entry. A frozen owner keeps its connections open without ever
+    /// answering, so the call stops waiting once that entry is considered dead or another entry
+    /// owns the shard.
+    async fn relay_remote(&mut self, vm: &VmName, address: SocketAddr) -> RelayOutcome {
         let entry = self.entry.clone();
         let shard = self.call.program().shard(entry.settings.shards);
         let deadline = self.call.deadline();
         tokio::select! {
-            relay = self.relay_call(vm, address) => relay,
-            () = owner_lost(&entry, shard, vm, deadline) => Relay::Cut,
+            relay = self.send_to_owner(vm, address) => relay,
+            () = until_not_owner(&entry, shard, vm, deadline) => RelayOutcome::OutcomeUnknown,
         }
     }
 
-    async fn relay_call(&mut self, vm: &VmName, address: SocketAddr) -> Relay {
+    async fn send_to_owner(&mut self, vm: &VmName, address: SocketAddr) -> RelayOutcome {
         let now = self.entry.clock.now();
         let (path, body) = match &self.call {
-            Call::Turn(request) => (TURNS, to_json(&TurnMessage::of_request(request, now))),
-            Call::End { program, .. } => (ENDS, to_json(program)),
+            Call::Turn(request) => (TURNS_PATH, to_json(&TurnMessage::from_request(request, now))),
+            Call::End { program, .. } => (ENDS_PATH, to_json(program)),
         };
         let started = self.entry.http.start(Method::POST, address, path, body).await;
         match started {
             Ok(response) if response.status().is_success() => {
-                self.relay_body(response.into_body()).await
+                self.relay_replies(response.into_body()).await
             }
-            Ok(_) => Relay::NotThere,
+            Ok(_) => RelayOutcome::NotRun,
             Err(CallError::NotSent) => {
-                // Nothing listens there: that run is gone, however fresh its last heartbeat.
+                // Nothing listens on the address: that process instance has ended, however recent
+                // its last heartbeat is.
                 self.entry.peers().mark_dead(vm);
-                Relay::NotThere
+                RelayOutcome::NotRun
             }
-            Err(_) => Relay::Cut,
+            Err(_) => RelayOutcome::OutcomeUnknown,
         }
     }
 
-    async fn relay_body(&mut self, body: Incoming) -> Relay {
+    async fn relay_replies(&mut self, body: Incoming) -> RelayOutcome {
         let mut lines = LineReader::open(body, MAX_LINE_BYTES);
         loop {
             let line = tokio::select! {
                 line = lines.next() => line,
-                () = self.replies.closed() => return Relay::Finished,
+                () = self.replies.closed() => return RelayOutcome::Finished,
             };
             let Some(reply) = line.and_then(|line| serde_json::from_slice::<Reply>(&line).ok())
             else {
-                return Relay::Cut;
+                return RelayOutcome::OutcomeUnknown;
             };
-            if let Some(relay) = self.pass_on(reply) {
+            if let Some(relay) = self.pass_reply(reply) {
                 return relay;
             }
         }
     }
 }
 
-/// Waits until an entry can't be the shard's owner any more, or the call's time is up.
-async fn owner_lost(entry: &Entry, shard: ShardId, vm: &VmName, deadline: TimeMs) {
+/// Waits until the entry on `vm` can no longer own the shard, or the deadline with its grace time
+/// has passed.
+async fn until_not_owner(entry: &Entry, shard: ShardId, vm: &VmName, deadline: TimeMs) {
     while entry.may_own(shard, vm) && entry.clock.now() < deadline.plus(DEADLINE_GRACE_MS) {
-        tokio::time::sleep(OWNER_CHECK).await;
+        tokio::time::sleep(OWNER_CHECK_INTERVAL).await;
     }
 }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,25 +1,25 @@
-//! The entry: answers callers, and owns shards of programs.
+//! The entry, the proxy node of the daemon: serves callers, and owns shards of programs.
 
-mod answers;
 mod api;
 mod callers;
 mod config;
 mod core;
+mod environment;
 mod forward;
 mod freshness;
+mod pause_detector;
 mod peers;
 mod process;
 mod rates;
-mod standstill;
+mod responses;
 mod state;
-mod surroundings;
 mod tasks;
-mod wire;
+mod turn_message;
 
 pub use api::{ApiError, ApiErrorCode};
 pub use config::CONFIG_STREAM;
 pub use process::run;
-pub use wire::TurnMessage;
+pub use turn_message::TurnMessage;
 
 #[cfg(test)]
 mod tests;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -10,56 +10,56 @@
 
 use crate::daemon::Pulse;
 use crate::entry::core::Command;
-use crate::entry::forward::{ENDS, TURNS};
+use crate::entry::forward::{ENDS_PATH, TURNS_PATH};
 use crate::entry::state::Entry;
-use crate::entry::wire::TurnMessage;
+use crate::entry::turn_message::TurnMessage;
 use crate::http::{Body, json, lines, read_body, streamed};
 use crate::membership::{Heartbeat, PeerState, RoleStatus};
 use crate::prelude::*;
 use crate::programs::Reply;
 
-/// Where operators and other entries ask how this one does.
-pub(super) const STATUS: &str = "/status";
-/// Where entries take the configuration from each other while the log is out.
-pub(super) const CONFIG: &str = "/config";
+/// Path of this entry's status report, read by operators and other entries.
+pub(super) const STATUS_PATH: &str = "/status";
+/// Path of the configuration snapshot, which other entries fetch while the log is unavailable.
+pub(super) const CONFIG_PATH: &str = "/config";
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Answers a call of another process of the system.
+/// Handles a request from another process of the system.
 pub(super) async fn handle(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::POST, TURNS) => turn(entry, request).await,
-        (&Method::GET, CONFIG) => json(StatusCode::OK, &entry.current_book().snapshot()),
-        (&Method::GET, STATUS) => json(StatusCode::OK, &entry.status()),
-        (&Method::POST, ENDS) => end(entry, request).await,
+        (&Method::POST, TURNS_PATH) => handle_turn(entry, request).await,
+        (&Method::GET, CONFIG_PATH) => json(StatusCode::OK, &entry.current_book().snapshot()),
+        (&Method::GET, STATUS_PATH) => json(StatusCode::OK, &entry.status()),
+        (&Method::POST, ENDS_PATH) => handle_end(entry, request).await,
         _ => json(StatusCode::NOT_FOUND, &"no such call"),
     }
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
+async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let body = read_body(request.into_body(), MAX_MESSAGE_BYTES, RECEIVE_TIMEOUT).await;
     serde_json::from_slice(&body.ok()?).ok()
 }
 
-async fn turn(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
-    let Some(message) = read::<TurnMessage>(request).await else {
+async fn handle_turn(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
+    let Some(message) = read_json::<TurnMessage>(request).await else {
         return json(StatusCode::BAD_REQUEST, &"not a turn");
     };
     let request = message.into_request(entry.clock.now());
     let (replies, receiver) = mpsc::unbounded_channel();
-    answer(&entry, Command::Turn { request, replies }, receiver)
+    stream_replies(&entry, Command::Turn { request, replies }, receiver)
 }
 
-async fn end(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
-    let Some(program) = read::<ProgramId>(request).await else {
+async fn handle_end(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
+    let Some(program) = read_json::<ProgramId>(request).await else {
         return json(StatusCode::BAD_REQUEST, &"not a program");
     };
     let (replies, receiver) = mpsc::unbounded_channel();
-    answer(&entry, Command::End { program, replies }, receiver)
+    stream_replies(&entry, Command::End { program, replies }, receiver)
 }
 
-fn answer(
+fn stream_replies(
     entry: &Entry,
     command: Command,
     receiver: mpsc::UnboundedReceiver<Reply>,
@@ -69,8 +69,8 @@
     Response::new(streamed(replies.map(|reply| Ok(lines(&reply)))))
 }
 
-/// Takes the heartbeats of others. Never returns.
-pub(super) async fn listen(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
+/// Receives the heartbeats of other processes. Never returns.
+pub(super) async fn receive_heartbeats(entry: Arc<Entry>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
@@ -78,28 +78,28 @@
             continue;
         };
         let Some(heartbeat) = Heartbeat::decode(&buffer[..length]) else {
-            log::warn!("a datagram that is no heartbeat");
+            log::warn!("ignoring a datagram that is not a heartbeat");
             continue;
         };
         let vm = heartbeat.vm.clone();
         let is_new = entry.peers().record_heartbeat(entry.clock.now(), heartbeat);
         if is_new {
-            log::info!(vm = vm.as_str(); "heard a new process");
+            log::info!(vm = vm.as_str(); "received the first heartbeat of a process instance");
         }
     }
 }
 
-/// Notices when this process stands still. Never returns.
-pub(super) async fn watch_standstill(entry: Arc<Entry>) {
-    let beat = Duration::from_millis(entry.settings.process.heartbeat_ms);
+/// Ticks the pause detector of this process once per heartbeat interval. Never returns.
+pub(super) async fn run_pause_detector(entry: Arc<Entry>) {
+    let interval = Duration::from_millis(entry.settings.process.heartbeat_ms);
     loop {
-        entry.standstill().beat(entry.clock.now());
-        tokio::time::sleep(beat).await;
+        entry.pause_detector().tick(entry.clock.now());
+        tokio::time::sleep(interval).await;
     }
 }
 
-/// Sends this entry's heartbeats and keeps the table of peers. Never returns.
-pub(super) async fn beat(entry: Arc<Entry>, mut pulse: Pulse) {
+/// Sends this entry's heartbeats and updates the peer table. Never returns.
+pub(super) async fn send_heartbeats(entry: Arc<Entry>, mut pulse: Pulse) {
     loop {
         pulse.next().await;
         if let Some(list) = pulse.refresh_list().await {
@@ -117,7 +117,11 @@
         let role_status = RoleStatus::Entry {
             config: entry.current_book().through(),
             log_age_ms: entry.config_age_ms(),
-            owned: entry.owned().iter().map(|(shard, owned)| (*shard, owned.epoch)).collect(),
+            owned: entry
+                .owned_shards()
+                .iter()
+                .map(|(shard, owned)| (*shard, owned.epoch))
+                .collect(),
         };
         pulse.send(state, role_status, &targets).await;
     }
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -15,41 +15,44 @@
 use crate::settings::EntrySettings;
 use crate::telemetry::Metrics;
 
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs an entry until it is told to stop and has finished what it holds.
+/// Runs an entry until a shutdown is requested and the drain has finished or timed out.
 pub async fn run(settings: EntrySettings, metrics: Metrics) -> Result<(), DaemonError> {
     let mut shutdown = Shutdown::install()?;
-    let (commands, queue) = mpsc::unbounded_channel();
+    let (commands, command_queue) = mpsc::unbounded_channel();
     let entry = Arc::new(Entry::new(settings.clone(), commands));
-    let peer_calls = entry.clone();
+    let peer_entry = entry.clone();
     let peer_listen = settings.process.peer_listen;
-    let peers = serve(peer_listen, ServerLimits::default(), move |request| {
-        peers::handle(peer_calls.clone(), request)
+    let peer_server = serve(peer_listen, ServerLimits::default(), move |request| {
+        peers::handle(peer_entry.clone(), request)
+    })
+    .await?;
+    let control_entry = entry.clone();
+    let control_listen = SocketAddr::new(peer_server.address.ip(), 0);
+    let control_server = LinkServer::bind(control_listen, move |request| {
+        handle_control(control_entry.clone(), request)
     })
     .await?;
-    let lending = entry.clone();
-    let control_listen = SocketAddr::new(peers.address.ip(), 0);
-    let links =
-        LinkServer::bind(control_listen, move |request| control(lending.clone(), request)).await?;
     let admin = Admin::bind(settings.process.admin_listen, metrics).await?;
-    let socket = UdpSocket::bind(peers.address).await?;
-    let vm = &settings.process;
-    let pulse = Pulse::new(vm, entry.instance, peers.address, links.address, socket);
+    let socket = UdpSocket::bind(peer_server.address).await?;
+    let process = &settings.process;
+    let pulse =
+        Pulse::new(process, entry.instance, peer_server.address, control_server.address, socket);
     let tasks = [
-        tokio::spawn(Core::new(entry.clone()).run(queue)),
-        tokio::spawn(config::follow(entry.clone())),
-        tokio::spawn(config::keep(entry.clone())),
-        tokio::spawn(peers::watch_standstill(entry.clone())),
-        tokio::spawn(peers::listen(entry.clone(), pulse.socket())),
-        tokio::spawn(peers::beat(entry.clone(), pulse)),
+        tokio::spawn(Core::new(entry.clone()).run(command_queue)),
+        tokio::spawn(config::follow_stream(entry.clone())),
+        tokio::spawn(config::maintain(entry.clone())),
+        tokio::spawn(peers::run_pause_detector(entry.clone())),
+        tokio::spawn(peers::receive_heartbeats(entry.clone(), pulse.socket())),
+        tokio::spawn(peers::send_heartbeats(entry.clone(), pulse)),
     ];
-    let callers = listen_for_callers(&entry).await?;
-    let addresses = [("callers", callers.address), ("peer", peers.address)];
+    let caller_server = listen_for_callers(&entry).await?;
+    let addresses = [("callers", caller_server.address), ("peer", peer_server.address)];
     admin.announce("entry", entry.vm(), &addresses);
     report_status(&admin, &entry);
     tokio::select! {
-        () = wait_ready(&entry) => {
+        () = wait_until_ready(&entry) => {
             admin.set_ready(true);
             log::info!("ready");
             shutdown.requested().await;
@@ -58,18 +61,21 @@
     }
     log::info!("draining");
     admin.set_ready(false);
-    let drain = drain(&entry, callers, peers);
-    if tokio::time::timeout(Duration::from_millis(vm.drain_timeout_ms), drain).await.is_err() {
-        log::warn!("stopping with calls under way: the drain timeout has passed");
+    let drain = drain(&entry, caller_server, peer_server);
+    if tokio::time::timeout(Duration::from_millis(process.drain_timeout_ms), drain).await.is_err() {
+        log::warn!(
+            "drain did not finish within {} ms; stopping with calls in flight",
+            process.drain_timeout_ms
+        );
     }
     tasks.iter().for_each(|task| task.abort());
     log::info!("stopped");
     Ok(())
 }
 
-async fn control(entry: Arc<Entry>, request: ControlRequest) -> ControlReply {
+async fn handle_control(entry: Arc<Entry>, request: ControlRequest) -> ControlReply {
     match request {
-        ControlRequest::Borrow(question) => entry.lend(question).await,
+        ControlRequest::Borrow(borrow_request) => entry.lend(borrow_request).await,
         ControlRequest::Ask { .. }
         | ControlRequest::Cancel { .. }
         | ControlRequest::Free { .. } => ControlReply::NotMine,
@@ -81,39 +87,42 @@
         header_timeout: Duration::from_millis(entry.settings.receive_timeout_ms),
         ..ServerLimits::default()
     };
-    let calls = entry.clone();
-    serve(entry.settings.listen, limits, move |request| callers::handle(calls.clone(), request))
-        .await
+    let caller_entry = entry.clone();
+    serve(entry.settings.listen, limits, move |request| {
+        callers::handle(caller_entry.clone(), request)
+    })
+    .await
 }
 
-/// Waits until the configuration is known, and every listed entry was heard or has had the time
-/// to be. Until then this entry can't tell which shards are owned, and must claim none.
-async fn wait_ready(entry: &Entry) {
-    let timings = LivenessTimeouts::for_heartbeat(entry.settings.process.heartbeat_ms);
+/// Waits until the configuration is fresh, and every listed entry has sent a heartbeat or the time
+/// has passed after which a silent peer is considered dead. Until then this entry can't tell which
+/// shards are owned, and must claim none.
+async fn wait_until_ready(entry: &Entry) {
+    let timeouts = LivenessTimeouts::for_heartbeat(entry.settings.process.heartbeat_ms);
     loop {
-        let heard = {
+        let heard_all = {
             let peers = entry.peers();
             peers.listed_entries() > 0 && peers.heard_all_listed_entries(entry.vm())
         };
-        let waited = entry.clock.now() >= TimeMs(timings.dead_ms);
-        if (heard || waited) && entry.config_is_fresh() {
+        let timed_out = entry.clock.now() >= TimeMs(timeouts.dead_ms);
+        if (heard_all || timed_out) && entry.config_is_fresh() {
             entry.set_ready();
             return;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Finishes what is under way: callers' answers first, then the shards, then the calls of other
-/// entries for them.
-async fn drain(entry: &Arc<Entry>, callers: Serving, peers: Serving) {
+/// Drains the entry in this order: its callers' requests, its shards, and the requests that other
+/// entries forwarded for those shards.
+async fn drain(entry: &Arc<Entry>, caller_server: Serving, peer_server: Serving) {
     entry.leave();
-    callers.shut_down().await;
-    let _ = entry.commands.send(Command::HandOver);
-    while !entry.owned().is_empty() {
-        tokio::time::sleep(POLL).await;
+    caller_server.shut_down().await;
+    let _ = entry.commands.send(Command::ReleaseAll);
+    while !entry.owned_shards().is_empty() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    peers.shut_down().await;
+    peer_server.shut_down().await;
 }
 
 fn report_status(admin: &Admin, entry: &Arc<Entry>) {
--- a/src/entry/rates.rs
+++ b/src/entry/rates.rs
@@ -1,4 +1,6 @@
-//! Borrows shares of workspaces' rates, and lends those that fall to this entry's shards.
+//! Enforces workspaces' rates over all entries. The owner of a workspace's rate shard lends shares
+//! of the rate to the entries that admit calls; each entry is a borrower, and a lender for the
+//! shards it owns.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,30 +9,30 @@
 use crate::admission::{AdmissionDecision, BorrowRequest, Lender, LendingTimes, Loan};
 use crate::contracts::Contract;
 use crate::entry::core::Command;
-use crate::entry::peers::STATUS;
-use crate::entry::state::{Entry, Place};
+use crate::entry::peers::STATUS_PATH;
+use crate::entry::state::{Entry, ShardLocation};
 use crate::http::CallError;
 use crate::link::{ControlReply, ControlRequest};
 use crate::prelude::*;
 use crate::programs::Predecessor;
 
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a call waits for a lender that is just taking over, rather than be turned away
-/// although its workspace is within its rate.
-const MAX_WAIT_MS: u64 = 6_000;
-const POLL: Duration = Duration::from_millis(10);
-/// Tries of a lender to have its ownership confirmed before it answers.
-const CONFIRM_TRIES: usize = 10;
+const PEER_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a call waits for a lender. While a new owner takes a shard over there is none, and
+/// calls of a workspace within its rate should not be refused for that.
+const MAX_LENDER_WAIT_MS: u64 = 6_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How many times a lender tries to have its ownership confirmed before it declines a request.
+const MAX_CONFIRM_ATTEMPTS: usize = 10;
 
-/// Why a call was not let in by its workspace's rate.
+/// Why a call was refused by its workspace's rate limit.
 #[value]
 #[derive(Copy)]
 pub(super) enum RateRefusal {
-    /// The rate is used up until after this time.
-    UsedUp { wait_ms: u64 },
+    /// The rate is used up; the next call can be admitted after this time.
+    RateExceeded { wait_ms: u64 },
     /// No lender could be reached in time.
     NoLender,
-    /// The log is out, and with it every lender.
+    /// The log is unavailable, so that no lender can confirm that it still owns its shard.
     LogUnavailable,
 }
 
@@ -42,8 +44,8 @@
 }
 
 impl Lenders {
-    /// Starts to lend for a shard that was taken over just now.
-    pub fn open(&mut self, now: TimeMs, shard: ShardId, predecessor: Predecessor) {
+    /// Starts lending for a shard that this entry has just claimed.
+    pub fn add(&mut self, now: TimeMs, shard: ShardId, predecessor: Predecessor) {
         let lender = match predecessor {
             Predecessor::None => Lender::first(self.times, now),
             Predecessor::Released => Lender::after_release(self.times, now),
@@ -52,28 +54,29 @@
         self.by_shard.insert(shard, lender);
     }
 
-    /// Stops to lend for a shard.
-    pub fn close(&mut self, shard: ShardId) {
+    /// Stops lending for a shard.
+    pub fn remove(&mut self, shard: ShardId) {
         self.by_shard.remove(&shard);
     }
 }
 
 impl Entry {
+    /// The shard whose owner lends the workspace's rate.
     fn rate_shard(&self, workspace: &WorkspaceId) -> ShardId {
         let digest = Digest::of(&[b"rate", workspace.as_str().as_bytes()]);
         ShardId((digest.prefix() % u64::from(self.settings.shards)) as u16)
     }
 
-    /// Takes one call of a workspace's rate, or says when to come back.
-    pub async fn take_rate(
+    /// Takes one call from a workspace's rate, waiting for a lender if the local share is used up.
+    pub async fn acquire_rate(
         self: &Arc<Entry>,
         workspace: &WorkspaceId,
         deadline: TimeMs,
     ) -> Result<(), RateRefusal> {
         let waits_for_log = self.settings.waits_for_log;
-        let give_up = match waits_for_log {
+        let give_up_at = match waits_for_log {
             true => deadline,
-            false => self.clock.now().plus(MAX_WAIT_MS).min(deadline),
+            false => self.clock.now().plus(MAX_LENDER_WAIT_MS).min(deadline),
         };
         loop {
             let now = self.clock.now();
@@ -84,117 +87,120 @@
                     return Ok(());
                 }
                 AdmissionDecision::Refused { wait_ms } => {
-                    return Err(RateRefusal::UsedUp { wait_ms });
+                    return Err(RateRefusal::RateExceeded { wait_ms });
                 }
-                // A lender that can't ask the log may have been replaced, and must not lend.
+                // A lender that can't reach the log may have been replaced, and must not lend.
                 AdmissionDecision::NeedsLoan if self.is_log_failing() && !waits_for_log => {
                     return Err(RateRefusal::LogUnavailable);
                 }
                 AdmissionDecision::NeedsLoan => {}
             }
-            let question = self.borrower().next_request(now, workspace, 1);
-            match question {
-                Some(question) => self.borrow(question).await,
-                None => tokio::time::sleep(POLL).await,
+            let borrow_request = self.borrower().next_request(now, workspace, 1);
+            match borrow_request {
+                Some(borrow_request) => self.borrow(borrow_request).await,
+                None => tokio::time::sleep(POLL_INTERVAL).await,
             }
-            if self.clock.now() >= give_up {
+            if self.clock.now() >= give_up_at {
                 return Err(RateRefusal::NoLender);
             }
         }
     }
 
-    /// Asks for more before the share is used up, so that no call has to wait for it.
+    /// Borrows more in the background when the local share runs low, so that no call has to wait.
     fn borrow_early(self: &Arc<Entry>, workspace: &WorkspaceId) {
         let mut borrower = self.borrower();
         if !borrower.should_prefetch(workspace) {
             return;
         }
-        if let Some(question) = borrower.next_request(self.clock.now(), workspace, 0) {
+        if let Some(borrow_request) = borrower.next_request(self.clock.now(), workspace, 0) {
             let entry = self.clone();
-            tokio::spawn(async move { entry.borrow(question).await });
+            tokio::spawn(async move { entry.borrow(borrow_request).await });
         }
     }
 
-    async fn borrow(self: &Arc<Entry>, question: BorrowRequest) {
-        let shard = self.rate_shard(&question.workspace);
+    async fn borrow(self: &Arc<Entry>, borrow_request: BorrowRequest) {
+        let shard = self.rate_shard(&borrow_request.workspace);
         let reply = match self.locate(shard) {
-            Place::Here => self.lend(question.clone()).await,
-            Place::There(vm, _) => {
-                self.borrow_there(&vm, ControlRequest::Borrow(question.clone())).await
+            ShardLocation::Local => self.lend(borrow_request.clone()).await,
+            ShardLocation::Remote(vm, _) => {
+                self.borrow_remote(&vm, ControlRequest::Borrow(borrow_request.clone())).await
             }
         };
         match reply {
             ControlReply::Lent(loan) if loan.for_ms > 0 => {
-                self.borrower().record_loan(self.clock.now(), &question, loan);
+                self.borrower().record_loan(self.clock.now(), &borrow_request, loan);
             }
-            // No lender yet: the calls that wait ask again.
+            // There is no lender yet. Waiting calls ask again after a short pause.
             _ => {
-                tokio::time::sleep(POLL).await;
-                self.borrower().record_failed_request(&question);
+                tokio::time::sleep(POLL_INTERVAL).await;
+                self.borrower().record_failed_request(&borrow_request);
             }
         }
     }
 
-    async fn borrow_there(&self, vm: &VmName, request: ControlRequest) -> ControlReply {
+    async fn borrow_remote(&self, vm: &VmName, request: ControlRequest) -> ControlReply {
         let peer = self.peers().peer_on(vm).map(|p| (p.heartbeat.control, p.heartbeat.address));
         let Some((control, address)) = peer else {
             return ControlReply::NotMine;
         };
-        match self.links.ask(control, request, ASK_TIMEOUT).await {
+        match self.links.ask(control, request, PEER_TIMEOUT).await {
             Ok(reply) => reply,
             Err(_) => {
-                self.probe(vm, address).await;
+                self.probe_peer(vm, address).await;
                 ControlReply::NotMine
             }
         }
     }
 
-    /// Finds out whether anything still listens where a silent peer did. If not, its run is gone,
-    /// and its shards need not wait until its heartbeats are missed.
-    async fn probe(&self, vm: &VmName, address: SocketAddr) {
-        let answer = self.http.get::<serde_json::Value>(address, STATUS, ASK_TIMEOUT).await;
+    /// Checks whether anything still listens on the address of a peer that did not answer. If not,
+    /// its process instance has ended, and its shards can be claimed before its heartbeats time
+    /// out.
+    async fn probe_peer(&self, vm: &VmName, address: SocketAddr) {
+        let answer = self.http.get::<serde_json::Value>(address, STATUS_PATH, PEER_TIMEOUT).await;
         if answer == Err(CallError::NotSent) {
             self.peers().mark_dead(vm);
         }
     }
 
-    /// Answers a borrower, itself included.
-    pub async fn lend(self: &Arc<Entry>, question: BorrowRequest) -> ControlReply {
-        let shard = self.rate_shard(&question.workspace);
-        let Some(contract) = self.current_book().contract(&question.workspace).cloned() else {
+    /// Answers a borrower, which may be this entry itself.
+    pub async fn lend(self: &Arc<Entry>, borrow_request: BorrowRequest) -> ControlReply {
+        let shard = self.rate_shard(&borrow_request.workspace);
+        let Some(contract) = self.current_book().contract(&borrow_request.workspace).cloned()
+        else {
             return ControlReply::NotMine;
         };
-        for _ in 0..CONFIRM_TRIES {
-            if let Some(loan) = self.try_lend(shard, &contract, &question) {
+        for _ in 0..MAX_CONFIRM_ATTEMPTS {
+            if let Some(loan) = self.try_lend(shard, &contract, &borrow_request) {
                 return ControlReply::Lent(loan);
             }
-            if self.locate(shard) != Place::Here {
+            if self.locate(shard) != ShardLocation::Local {
                 return ControlReply::NotMine;
             }
-            let _ = self.commands.send(Command::Confirm { shard });
-            tokio::time::sleep(POLL).await;
+            let _ = self.commands.send(Command::ConfirmOwnership { shard });
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         ControlReply::NotMine
     }
 
-    /// Lends, if this entry is known to own the shard; asks for a fresh confirmation in time.
+    /// Lends if this entry's ownership of the shard was confirmed recently enough. Requests a new
+    /// confirmation once half of that time has passed, so that lending is not interrupted.
     fn try_lend(
         &self,
         shard: ShardId,
         contract: &Contract,
-        question: &BorrowRequest,
+        borrow_request: &BorrowRequest,
     ) -> Option<Loan> {
         let now = self.clock.now();
-        let confirmed = self.owned().get(&shard)?.confirmed;
+        let confirmed_at = self.owned_shards().get(&shard)?.confirmed_at;
         let mut lenders = self.lenders();
         let confirmation_valid_ms = lenders.times.confirmation_valid_ms;
-        if now.since(confirmed) >= confirmation_valid_ms / 2 {
-            let _ = self.commands.send(Command::Confirm { shard });
+        if now.since(confirmed_at) >= confirmation_valid_ms / 2 {
+            let _ = self.commands.send(Command::ConfirmOwnership { shard });
         }
-        if now.since(confirmed) >= confirmation_valid_ms {
+        if now.since(confirmed_at) >= confirmation_valid_ms {
             return None;
         }
         let limits = (u64::from(contract.rate_per_s), u64::from(contract.burst));
-        Some(lenders.by_shard.get_mut(&shard)?.lend(now, confirmed, limits, question))
+        Some(lenders.by_shard.get_mut(&shard)?.lend(now, confirmed_at, limits, borrow_request))
     }
 }
--- a/src/entry/answers.rs
+++ b/src/entry/responses.rs
@@ -1,4 +1,4 @@
-//! Turns an owner's replies into what a caller reads.
+//! Builds the HTTP response to a caller from the replies of the shard's owner.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::contracts::Book;
 use crate::entry::api::{ApiError, ApiErrorCode, chunk, completion, last_chunk};
 use crate::entry::callers::Caller;
-use crate::entry::forward::{Call, carry};
+use crate::entry::forward::{Call, forward};
 use crate::entry::state::Entry;
 use crate::http::{Body, json, streamed, whole};
 use crate::prelude::*;
@@ -20,13 +20,13 @@
 const PROGRAM: HeaderName = HeaderName::from_static("x-trefoil-program");
 const TURN: HeaderName = HeaderName::from_static("x-trefoil-turn");
 const REPLAYED: HeaderName = HeaderName::from_static("x-trefoil-replayed");
-/// Time for an error event to leave before the connection is cut.
+/// Time for an error event to reach the caller before the connection is closed.
 const FLUSH_TIME: Duration = Duration::from_millis(50);
-/// The end of a whole answer. A stream that closes without it was cut.
-const DONE: &[u8] = b"data: [DONE]\n\n";
+/// The last event of a complete answer. A stream that closes without it is incomplete.
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// A call on its way to its answer.
-pub(super) struct Answering {
+/// Builds the response to one call.
+pub(super) struct ResponseBuilder {
     entry: Arc<Entry>,
     caller: Caller,
     book: watch::Receiver<Arc<Book>>,
@@ -34,32 +34,32 @@
     target: ModelName,
     class: &'static str,
     started: TimeMs,
-    first_token_noted: bool,
+    first_token_recorded: bool,
 }
 
-impl Answering {
-    pub fn new(entry: Arc<Entry>, caller: Caller, turn: &TurnRequest) -> Answering {
-        Answering {
+impl ResponseBuilder {
+    pub fn new(entry: Arc<Entry>, caller: Caller, turn: &TurnRequest) -> ResponseBuilder {
+        ResponseBuilder {
             book: entry.book.subscribe(),
             program: turn.program.clone(),
             target: turn.work.target().clone(),
             class: turn.work.class(),
             started: entry.clock.now(),
-            first_token_noted: false,
+            first_token_recorded: false,
             entry,
             caller,
         }
     }
 
-    pub async fn answer_service(mut self, turn: TurnRequest) -> Result<Response<Body>, ApiError> {
-        let mut replies = carry(self.entry.clone(), Call::Turn(turn));
+    pub async fn service_response(mut self, turn: TurnRequest) -> Result<Response<Body>, ApiError> {
+        let mut replies = forward(self.entry.clone(), Call::Turn(turn));
         loop {
-            match self.next(&mut replies).await? {
+            match self.next_reply(&mut replies).await? {
                 Reply::Answer { turn, result: TurnResult::Served { status, body }, replayed } => {
                     let mut response = Response::new(whole(body.to_string()));
                     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     *response.status_mut() = status;
-                    self.mark(&mut response, Some(turn), replayed);
+                    self.set_headers(&mut response, Some(turn), replayed);
                     return Ok(response);
                 }
                 Reply::Delta { .. } => {}
@@ -70,32 +70,33 @@
         }
     }
 
-    pub async fn answer_completion(
+    pub async fn completion_response(
         mut self,
         turn: TurnRequest,
         stream: bool,
     ) -> Result<Response<Body>, ApiError> {
-        let mut replies = carry(self.entry.clone(), Call::Turn(turn));
+        let mut replies = forward(self.entry.clone(), Call::Turn(turn));
         if !stream {
-            return self.whole_answer(&mut replies).await;
+            return self.buffered_completion(&mut replies).await;
         }
-        // The first reply decides on the status: a refusal must not hide in a stream.
-        let first = self.next(&mut replies).await?;
+        // Waits for the first reply before it chooses the status: a refusal is answered with its
+        // own status, not as an event in a successful response.
+        let first = self.next_reply(&mut replies).await?;
         let mut response = Response::new(whole(Bytes::new()));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
         let replayed = matches!(first, Reply::Answer { replayed: true, .. });
-        self.mark(&mut response, None, replayed);
+        self.set_headers(&mut response, None, replayed);
         *response.body_mut() = self.event_stream(first, replies);
         Ok(response)
     }
 
-    async fn whole_answer(
+    async fn buffered_completion(
         mut self,
         replies: &mut mpsc::UnboundedReceiver<Reply>,
     ) -> Result<Response<Body>, ApiError> {
         loop {
-            match self.next(replies).await? {
-                Reply::Delta { .. } => self.note_first_token(),
+            match self.next_reply(replies).await? {
+                Reply::Delta { .. } => self.record_first_token(),
                 Reply::Answer {
                     turn,
                     result: TurnResult::Answered { text, finish, usage },
@@ -104,7 +105,7 @@
                     let model = self.target.as_str();
                     let answer = completion(&self.program, turn, model, (&text, finish, usage));
                     let mut response = json(StatusCode::OK, &answer);
-                    self.mark(&mut response, Some(turn), replayed);
+                    self.set_headers(&mut response, Some(turn), replayed);
                     return Ok(response);
                 }
                 Reply::Answer { .. } | Reply::Ended | Reply::Refused(_) => {
@@ -114,7 +115,8 @@
         }
     }
 
-    /// The answer as events. It ends with `[DONE]`, or with an error event and a cut connection.
+    /// The answer as server-sent events. It ends with `[DONE]`, or with an error event after which
+    /// the connection is closed.
     fn event_stream(mut self, first: Reply, mut replies: mpsc::UnboundedReceiver<Reply>) -> Body {
         streamed(async_stream::stream! {
             let mut reply = Ok(first);
@@ -122,7 +124,7 @@
             loop {
                 match reply {
                     Ok(Reply::Delta { text }) => {
-                        self.note_first_token();
+                        self.record_first_token();
                         streamed.push_str(&text);
                         yield Ok(event(&chunk(&self.program, self.target.as_str(), &text)));
                     }
@@ -133,7 +135,7 @@
                     }) => {
                         let Some(rest) = text.strip_prefix(streamed.as_str()) else {
                             yield Ok(error_event(&outcome_unknown()));
-                            yield Err(cut().await);
+                            yield Err(abort_error().await);
                             return;
                         };
                         let model = self.target.as_str();
@@ -141,39 +143,39 @@
                             yield Ok(event(&chunk(&self.program, model, rest)));
                         }
                         yield Ok(event(&last_chunk(&self.program, turn, model, finish, usage)));
-                        yield Ok(Bytes::from_static(DONE));
+                        yield Ok(Bytes::from_static(DONE_EVENT));
                         return;
                     }
                     Ok(_) => {
                         yield Ok(error_event(&outcome_unknown()));
-                        yield Err(cut().await);
+                        yield Err(abort_error().await);
                         return;
                     }
                     Err(error) => {
                         yield Ok(error_event(&error));
-                        yield Err(cut().await);
+                        yield Err(abort_error().await);
                         return;
                     }
                 }
-                reply = self.next(&mut replies).await;
+                reply = self.next_reply(&mut replies).await;
             }
         })
     }
 
-    /// The next reply, unless the caller's key is withdrawn before it comes.
-    async fn next(
+    /// The next reply, or an error if the caller's key is revoked before it comes.
+    async fn next_reply(
         &mut self,
         replies: &mut mpsc::UnboundedReceiver<Reply>,
     ) -> Result<Reply, ApiError> {
         let reply = tokio::select! {
             reply = replies.recv() => reply,
-            error = key_withdrawn(&mut self.book, &self.caller) => return Err(error),
+            error = until_key_revoked(&mut self.book, &self.caller) => return Err(error),
         };
         match reply {
             Some(Reply::Refused(refusal)) => Err(refusal.into()),
             Some(reply) => {
                 if reply.is_final() {
-                    self.note_end();
+                    self.record_turn_time();
                 }
                 Ok(reply)
             }
@@ -181,7 +183,7 @@
         }
     }
 
-    fn mark(&self, response: &mut Response<Body>, turn: Option<TurnNo>, replayed: bool) {
+    fn set_headers(&self, response: &mut Response<Body>, turn: Option<TurnNo>, replayed: bool) {
         let headers = response.headers_mut();
         if let Ok(name) = HeaderValue::from_str(&self.program.name) {
             headers.insert(PROGRAM, name);
@@ -194,17 +196,17 @@
         }
     }
 
-    fn note_first_token(&mut self) {
-        if !std::mem::replace(&mut self.first_token_noted, true) {
-            self.record("trefoil_first_token_ms");
+    fn record_first_token(&mut self) {
+        if !std::mem::replace(&mut self.first_token_recorded, true) {
+            self.record_elapsed("trefoil_first_token_ms");
         }
     }
 
-    fn note_end(&self) {
-        self.record("trefoil_turn_ms");
+    fn record_turn_time(&self) {
+        self.record_elapsed("trefoil_turn_ms");
     }
 
-    fn record(&self, name: &'static str) {
+    fn record_elapsed(&self, name: &'static str) {
         let elapsed_ms = self.entry.clock.now().since(self.started) as f64;
         let workspace = self.caller.workspace.to_string();
         metrics::histogram!(name, "workspace" => workspace, "class" => self.class)
@@ -212,9 +214,9 @@
     }
 }
 
-async fn key_withdrawn(book: &mut watch::Receiver<Arc<Book>>, caller: &Caller) -> ApiError {
-    let held = |book: &Arc<Book>| book.holds(&caller.workspace, &caller.key);
-    if book.wait_for(|book| !held(book)).await.is_err() {
+async fn until_key_revoked(book: &mut watch::Receiver<Arc<Book>>, caller: &Caller) -> ApiError {
+    let is_valid = |book: &Arc<Book>| book.holds(&caller.workspace, &caller.key);
+    if book.wait_for(|book| !is_valid(book)).await.is_err() {
         std::future::pending::<()>().await;
     }
     ApiError {
@@ -232,11 +234,11 @@
     }
 }
 
-/// The error that cuts a connection. It waits until the connection had time to send what came
-/// before: the cut alone would not tell the caller why.
-async fn cut() -> std::io::Error {
+/// The body error that closes the connection. It is returned only after the connection had time to
+/// send the error event before it: without that event the caller would not learn why.
+async fn abort_error() -> std::io::Error {
     tokio::time::sleep(FLUSH_TIME).await;
-    std::io::Error::other("the answer is not whole")
+    std::io::Error::other("answer incomplete: aborted after an error event")
 }
 
 fn event(value: &Value) -> Bytes {
