--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -8,10 +8,10 @@
 
 use crate::admission::{Borrower, MIN_CALLS_TO_PREFETCH};
 use crate::contracts::Book;
-use crate::entry::config::Confirmation;
+use crate::entry::config::ConfigStreamStatus;
 use crate::entry::core::Command;
+use crate::entry::pause_detector::PauseDetector;
 use crate::entry::rates::Lenders;
-use crate::entry::standstill::Standstill;
 use crate::http::Client;
 use crate::link::LinkPool;
 use crate::logstore::{LogClient, Pacer};
@@ -22,10 +22,12 @@
 use crate::settings::EntrySettings;
 use crate::time::Clock;
 
-/// Crashes of calls that this entry knows of and the log may not have yet.
-type Suspects = HashMap<(WorkspaceId, Digest), Vec<Crash>>;
+/// Engine crashes that this entry observed and that the log may not hold yet, by the call that was
+/// running.
+type CrashesByCall = HashMap<(WorkspaceId, Digest), Vec<Crash>>;
 
-/// What the tasks of an entry share. Each lock is held for a few steps and never over an await.
+/// State shared by the tasks of an entry. Each lock is held only briefly and never across an
+/// await.
 pub(super) struct Entry {
     pub settings: EntrySettings,
     pub instance: Instance,
@@ -35,39 +37,40 @@
     pub log: LogClient,
     pub commands: mpsc::UnboundedSender<Command>,
     pub book: watch::Sender<Arc<Book>>,
-    confirmation: Mutex<Confirmation>,
+    config_stream_status: Mutex<ConfigStreamStatus>,
     peers: Mutex<PeerTable>,
-    standstill: Mutex<Standstill>,
+    pause_detector: Mutex<PauseDetector>,
     router: Mutex<Router>,
-    retries: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     pacer: Mutex<Pacer>,
-    owned: Mutex<HashMap<ShardId, Ownership>>,
-    suspects: Mutex<Suspects>,
+    owned_shards: Mutex<HashMap<ShardId, OwnedShard>>,
+    unrecorded_crashes: Mutex<CrashesByCall>,
     borrower: Mutex<Borrower>,
     lenders: Mutex<Lenders>,
     ready: AtomicBool,
     log_failing: AtomicBool,
-    /// Crashes that the log has not taken yet.
-    crashes_to_record: AtomicUsize,
+    /// Number of crash records that are still to be appended to the log.
+    pending_crash_records: AtomicUsize,
     leaving: watch::Sender<bool>,
 }
 
-/// A shard that this entry owns.
+/// How this entry owns a shard.
 #[value]
 #[derive(Copy)]
-pub(super) struct Ownership {
+pub(super) struct OwnedShard {
     pub epoch: Epoch,
-    /// The last moment at which the log was asked and then showed that it is still ours.
-    pub confirmed: TimeMs,
+    /// When the newest request to the log was sent whose answer showed that this entry still owns
+    /// the shard.
+    pub confirmed_at: TimeMs,
 }
 
-/// Where a shard's calls go.
+/// The entry that a shard's calls go to.
 #[value]
-pub(super) enum Place {
-    /// To this entry.
-    Here,
-    /// To another.
-    There(VmName, SocketAddr),
+pub(super) enum ShardLocation {
+    /// This entry.
+    Local,
+    /// Another entry: its VM and the address for peer requests.
+    Remote(VmName, SocketAddr),
 }
 
 fn peer_status(peer: &Peer) -> serde_json::Value {
@@ -79,8 +82,8 @@
     })
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no holder panics")
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("lock poisoned: a holder panicked")
 }
 
 impl Entry {
@@ -89,7 +92,7 @@
         let http = Client::open();
         let log_timeout = Duration::from_millis(settings.log_timeout_ms);
         let log = LogClient::open(http.clone(), settings.log, log_timeout);
-        let timings = LivenessTimeouts::for_heartbeat(settings.process.heartbeat_ms);
+        let timeouts = LivenessTimeouts::for_heartbeat(settings.process.heartbeat_ms);
         let instance = Instance::random();
         Entry {
             instance,
@@ -99,19 +102,19 @@
             log,
             commands,
             book: watch::Sender::new(Arc::new(Book::default())),
-            confirmation: Mutex::default(),
-            peers: Mutex::new(PeerTable::new(timings)),
-            standstill: Mutex::new(Standstill::open(settings.process.heartbeat_ms)),
+            config_stream_status: Mutex::default(),
+            peers: Mutex::new(PeerTable::new(timeouts)),
+            pause_detector: Mutex::new(PauseDetector::new(settings.process.heartbeat_ms)),
             router: Mutex::new(Router::new(RoutingPolicy::CacheAffinity, instance.0)),
-            retries: Mutex::default(),
+            retry_budget: Mutex::default(),
             pacer: Mutex::new(Pacer::new(settings.appends_per_s)),
-            owned: Mutex::default(),
-            suspects: Mutex::default(),
+            owned_shards: Mutex::default(),
+            unrecorded_crashes: Mutex::default(),
             borrower: Mutex::new(Borrower::new(instance, MIN_CALLS_TO_PREFETCH)),
             lenders: Mutex::default(),
             ready: AtomicBool::new(false),
             log_failing: AtomicBool::new(false),
-            crashes_to_record: AtomicUsize::new(0),
+            pending_crash_records: AtomicUsize::new(0),
             leaving: watch::Sender::new(false),
             settings,
         }
@@ -122,64 +125,64 @@
     }
 
     pub fn peers(&self) -> MutexGuard<'_, PeerTable> {
-        locked(&self.peers)
+        lock(&self.peers)
     }
 
-    pub fn standstill(&self) -> MutexGuard<'_, Standstill> {
-        locked(&self.standstill)
+    pub fn pause_detector(&self) -> MutexGuard<'_, PauseDetector> {
+        lock(&self.pause_detector)
     }
 
     pub fn router(&self) -> MutexGuard<'_, Router> {
-        locked(&self.router)
+        lock(&self.router)
     }
 
-    pub fn retries(&self) -> MutexGuard<'_, RetryBudget> {
-        locked(&self.retries)
+    pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
-    pub fn owned(&self) -> MutexGuard<'_, HashMap<ShardId, Ownership>> {
-        locked(&self.owned)
+    pub fn owned_shards(&self) -> MutexGuard<'_, HashMap<ShardId, OwnedShard>> {
+        lock(&self.owned_shards)
     }
 
     pub fn borrower(&self) -> MutexGuard<'_, Borrower> {
-        locked(&self.borrower)
+        lock(&self.borrower)
     }
 
     pub fn lenders(&self) -> MutexGuard<'_, Lenders> {
-        locked(&self.lenders)
+        lock(&self.lenders)
     }
 
-    pub fn confirmation(&self) -> MutexGuard<'_, Confirmation> {
-        locked(&self.confirmation)
+    pub fn config_stream_status(&self) -> MutexGuard<'_, ConfigStreamStatus> {
+        lock(&self.config_stream_status)
     }
 
     pub fn current_book(&self) -> Arc<Book> {
         self.book.borrow().clone()
     }
 
-    /// From now on shards may be claimed.
+    /// Allows shards to be claimed and callers to be admitted.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Relaxed);
     }
 
-    /// Whether shards may be claimed and callers be let in.
+    /// Whether shards may be claimed and callers admitted.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Takes note of whether the log answered.
-    pub fn note_log(&self, answered: bool) {
-        self.log_failing.store(!answered, Ordering::Relaxed);
+    /// Records whether the last request to the log succeeded.
+    pub fn record_log_result(&self, succeeded: bool) {
+        self.log_failing.store(!succeeded, Ordering::Relaxed);
     }
 
-    /// Whether the log did not answer when last asked.
+    /// Whether the last request to the log failed.
     pub fn is_log_failing(&self) -> bool {
         self.log_failing.load(Ordering::Relaxed)
     }
 
-    /// How this entry does, for operators.
+    /// The status report that operators get from `/status`.
     pub fn status(&self) -> serde_json::Value {
-        let shards: Vec<u16> = self.owned().keys().map(|shard| shard.0).collect();
+        let shards: Vec<u16> = self.owned_shards().keys().map(|shard| shard.0).collect();
         let peers: Vec<serde_json::Value> = self.peers().all().map(peer_status).collect();
         serde_json::json!({
             "role": "entry",
@@ -193,7 +196,7 @@
         })
     }
 
-    /// Stops taking new work.
+    /// Marks this entry as leaving: it claims no more shards, and its heartbeats say so.
     pub fn leave(&self) {
         self.leaving.send_replace(true);
     }
@@ -202,57 +205,61 @@
         *self.leaving.borrow()
     }
 
-    /// Reserves one append of this entry's part; returns how long to wait for it.
+    /// Reserves one append of this entry's share of the fleet's append rate. Returns how long to
+    /// wait before sending it, in milliseconds.
     pub fn reserve_append(&self) -> u64 {
         let entries = 1 + self.peers().live_entries().count();
-        let mut pacer = locked(&self.pacer);
+        let mut pacer = lock(&self.pacer);
         pacer.share_between(entries);
         pacer.reserve(self.clock.now())
     }
 
-    /// What is known of a call that may crash engines, by the log and by this entry.
+    /// Whether a call is suspected or known to crash engines, by the crashes in the log and by
+    /// those that only this entry knows of yet.
     pub fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus {
-        let own = locked(&self.suspects);
-        let crashes = own.get(&(workspace.clone(), *digest)).map_or(&[][..], Vec::as_slice);
+        let local_crashes = lock(&self.unrecorded_crashes);
+        let crashes =
+            local_crashes.get(&(workspace.clone(), *digest)).map_or(&[][..], Vec::as_slice);
         self.book.borrow().crash_status(workspace, digest, crashes)
     }
 
-    /// Counts a crash that has to be recorded.
-    pub fn owe_crash_record(&self) {
-        self.crashes_to_record.fetch_add(1, Ordering::Relaxed);
+    /// Counts a crash record that is to be appended.
+    pub fn add_pending_crash_record(&self) {
+        self.pending_crash_records.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes note that the log has taken one, or that it was given up.
-    pub fn settle_crash_record(&self) {
-        self.crashes_to_record.fetch_sub(1, Ordering::Relaxed);
+    /// Counts a crash record as appended or given up.
+    pub fn remove_pending_crash_record(&self) {
+        self.pending_crash_records.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether every crash is recorded.
+    /// Whether no crash record is left to append.
     pub fn crashes_are_recorded(&self) -> bool {
-        self.crashes_to_record.load(Ordering::Relaxed) == 0
+        self.pending_crash_records.load(Ordering::Relaxed) == 0
     }
 
-    /// The VMs on which engines crashed under a call.
+    /// VMs whose engine crashed while it ran the call.
     pub fn crashed_vms(&self, workspace: &WorkspaceId, digest: &Digest) -> Vec<VmName> {
-        let own = locked(&self.suspects);
-        let unrecorded = own.get(&(workspace.clone(), *digest)).into_iter().flatten();
+        let local_crashes = lock(&self.unrecorded_crashes);
+        let unrecorded = local_crashes.get(&(workspace.clone(), *digest)).into_iter().flatten();
         let book = self.book.borrow();
         let recorded = book.crashes(workspace, digest).iter();
         recorded.chain(unrecorded).map(|crash| crash.vm.clone()).collect()
     }
 
-    /// Counts a crash at once; the log learns of it meanwhile.
-    pub fn note_crash(&self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
-        let mut own = locked(&self.suspects);
-        let crashes = own.entry((workspace.clone(), *digest)).or_default();
+    /// Stores a crash locally, so that it counts before the log holds it.
+    pub fn add_local_crash(&self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
+        let mut local_crashes = lock(&self.unrecorded_crashes);
+        let crashes = local_crashes.entry((workspace.clone(), *digest)).or_default();
         if !crashes.contains(&crash) {
             crashes.push(crash);
         }
     }
 
-    /// Whether another entry may still own a shard: it is not dead, and nobody else owns it.
+    /// Whether the entry on `vm` may still own a shard: it is not considered dead, and no other
+    /// entry is known to own the shard.
     pub fn may_own(&self, shard: ShardId, vm: &VmName) -> bool {
-        if self.owned().contains_key(&shard) {
+        if self.owned_shards().contains_key(&shard) {
             return false;
         }
         let peers = self.peers();
@@ -261,26 +268,27 @@
         alive && !replaced
     }
 
-    /// Forgets crashes that the log holds by now, or that proved to be another call's.
-    pub fn forget_crashes(&self, workspace: &WorkspaceId, digest: &Digest) {
-        locked(&self.suspects).remove(&(workspace.clone(), *digest));
+    /// Removes the local crashes of a call: the log holds them by now, or the call was cleared.
+    pub fn remove_local_crashes(&self, workspace: &WorkspaceId, digest: &Digest) {
+        lock(&self.unrecorded_crashes).remove(&(workspace.clone(), *digest));
     }
 
-    /// Where the calls of a shard go: to its owner, or else to the entry that all would pick.
-    pub fn locate(&self, shard: ShardId) -> Place {
-        if self.owned().contains_key(&shard) {
-            return Place::Here;
+    /// The entry that a shard's calls go to: its owner if one is known, else the preferred one.
+    pub fn locate(&self, shard: ShardId) -> ShardLocation {
+        if self.owned_shards().contains_key(&shard) {
+            return ShardLocation::Local;
         }
         let peers = self.peers();
         if let Some((owner, _)) = peers.owner_of(shard) {
-            return Place::There(owner.heartbeat.vm.clone(), owner.heartbeat.address);
+            return ShardLocation::Remote(owner.heartbeat.vm.clone(), owner.heartbeat.address);
         }
         drop(peers);
-        self.preferred(shard)
+        self.preferred_owner(shard)
     }
 
-    /// The entry that all would pick to own a shard.
-    pub fn preferred(&self, shard: ShardId) -> Place {
+    /// The entry that should own a shard if nobody does, by rendezvous hashing: entries that see
+    /// the same live peers agree on it. A leaving entry prefers any other.
+    pub fn preferred_owner(&self, shard: ShardId) -> ShardLocation {
         let peers = self.peers();
         let rank =
             |vm: &VmName| Digest::of(&[&shard.0.to_le_bytes(), vm.as_str().as_bytes()]).prefix();
@@ -288,9 +296,9 @@
         let best = others.max_by_key(|peer| rank(&peer.heartbeat.vm));
         match best {
             Some(peer) if self.is_leaving() || rank(&peer.heartbeat.vm) > rank(self.vm()) => {
-                Place::There(peer.heartbeat.vm.clone(), peer.heartbeat.address)
+                ShardLocation::Remote(peer.heartbeat.vm.clone(), peer.heartbeat.address)
             }
-            _ => Place::Here,
+            _ => ShardLocation::Local,
         }
     }
 }
--- a/src/entry/tasks.rs
+++ b/src/entry/tasks.rs
@@ -1,4 +1,4 @@
-//! What the core has done for it: calls to the log, to endpoints and to their processes.
+//! Tasks that carry out the core's I/O: requests to the log and to the processes beside endpoints.
 
 use std::time::Duration;
 
@@ -18,25 +18,26 @@
     Attempt, AttemptFrame, AttemptReport, Event, FailureCause, ReadPage, Record, Reply,
 };
 
-/// The longest frame of an attempt: a whole answer.
+/// Maximum size of one frame of an attempt; the largest is a complete answer.
 const MAX_FRAME_BYTES: usize = 64 << 20;
-const ASK_TIMEOUT: Duration = Duration::from_millis(1_000);
-const PUBLISH_RETRY: Duration = Duration::from_millis(500);
-const PUBLISH_TRIES: usize = 600;
-/// How long a final answer waits for the record of a crash. With the log out it is given without.
-const RECORD_WAIT_MS: u64 = 1_000;
-const RECORD_POLL: Duration = Duration::from_millis(2);
-
-/// Where the answers to a task go.
-pub(super) struct Back {
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
+const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_PUBLISH_ATTEMPTS: usize = 600;
+/// How long a final reply waits for crash records to be appended. If the log is unavailable for
+/// longer, the reply is sent without them.
+const MAX_RECORD_WAIT_MS: u64 = 1_000;
+const RECORD_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// The shard owner that a task works for and reports its result to.
+pub(super) struct OwnerHandle {
     pub entry: Arc<Entry>,
     pub shard: ShardId,
     pub nonce: u64,
 }
 
-impl Back {
-    fn tell(&self, event: Event) {
-        let command = Command::Owner { shard: self.shard, nonce: self.nonce, event };
+impl OwnerHandle {
+    fn send(&self, event: Event) {
+        let command = Command::OwnerEvent { shard: self.shard, nonce: self.nonce, event };
         let _ = self.entry.commands.send(command);
     }
 
@@ -45,40 +46,43 @@
     }
 }
 
-/// Wakes an owner up when its append may be sent.
-pub(super) async fn wake(back: Back, in_ms: u64) {
+/// Wakes an owner after `in_ms`, when its reserved append may be sent.
+pub(super) async fn wake(owner: OwnerHandle, in_ms: u64) {
     tokio::time::sleep(Duration::from_millis(in_ms)).await;
-    back.tell(Event::Wake);
+    owner.send(Event::Wake);
 }
 
-/// Appends a batch.
-pub(super) async fn append(back: Back, records: Vec<Record>) {
-    let started = back.entry.clock.now();
-    let result = back.entry.log.append(&back.stream(), &records).await;
-    let elapsed_ms = back.entry.clock.now().since(started) as f64;
+/// Appends a batch to the shard's stream.
+pub(super) async fn append(owner: OwnerHandle, records: Vec<Record>) {
+    let started = owner.entry.clock.now();
+    let result = owner.entry.log.append(&owner.stream(), &records).await;
+    let elapsed_ms = owner.entry.clock.now().since(started) as f64;
     metrics::histogram!("trefoil_log_append_ms").record(elapsed_ms);
     metrics::histogram!("trefoil_log_batch_records").record(records.len() as f64);
-    back.entry.note_log(result.is_ok());
+    owner.entry.record_log_result(result.is_ok());
     if let Err(fault) = result {
-        log::warn!(shard = back.shard.0, fault:?; "the log did not answer an append");
+        log::warn!(
+            shard = owner.shard.0, fault:?;
+            "append to the shard's stream failed; the owner retries"
+        );
     }
-    back.tell(Event::Appended(result.map_err(Into::into)));
+    owner.send(Event::Appended(result.map_err(Into::into)));
 }
 
 /// Reads a page of the shard's stream.
-pub(super) async fn read(back: Back, from: Option<Offset>) {
+pub(super) async fn read(owner: OwnerHandle, from: Option<Offset>) {
     let from = from.unwrap_or(Offset(0));
-    let page = back.entry.log.read::<Record>(&back.stream(), from, Duration::ZERO).await;
+    let page = owner.entry.log.read::<Record>(&owner.stream(), from, Duration::ZERO).await;
     let page = page.map(|page| ReadPage {
         at_end: page.at_end(),
         earliest: page.earliest,
         records: page.records,
     });
-    back.tell(Event::Read(page.map_err(Into::into)));
+    owner.send(Event::Read(page.map_err(Into::into)));
 }
 
-/// Sends an attempt to the process beside its endpoint and passes its frames on.
-pub(super) async fn dispatch(back: Back, attempt: Attempt) {
+/// Sends an attempt to the process beside its endpoint and passes its frames to the owner.
+pub(super) async fn dispatch(owner: OwnerHandle, attempt: Attempt) {
     let id = attempt.id;
     log::info!(
         program = attempt.program.to_string(), turn = attempt.turn.0, attempt = id.to_string(),
@@ -87,39 +91,39 @@
         "dispatching an attempt"
     );
     let address = {
-        let peers = back.entry.peers();
+        let peers = owner.entry.peers();
         let peer = peers.peer_on(&attempt.target.vm);
-        let same_run = peer.filter(|p| p.heartbeat.instance == attempt.target.instance);
-        same_run.map(|peer| peer.heartbeat.address)
+        let same_instance = peer.filter(|p| p.heartbeat.instance == attempt.target.instance);
+        same_instance.map(|peer| peer.heartbeat.address)
     };
     let rejected = AttemptFrame::Failed { cause: FailureCause::Rejected, spent_tokens: Some(0) };
     let Some(address) = address else {
-        back.tell(Event::Frame { attempt: id, frame: rejected });
+        owner.send(Event::Frame { attempt: id, frame: rejected });
         return;
     };
     let body = serde_json::to_vec(&attempt).unwrap_or_default();
-    let started = back.entry.http.start(Method::POST, address, ATTEMPTS_PATH, body.into()).await;
+    let started = owner.entry.http.start(Method::POST, address, ATTEMPTS_PATH, body.into()).await;
     match started {
         Ok(response) if response.status().is_success() => {
-            if !follow(&back, id, response.into_body()).await {
-                back.tell(Event::ConnectionLost { attempt: id });
+            if !forward_frames(&owner, id, response.into_body()).await {
+                owner.send(Event::ConnectionLost { attempt: id });
             }
         }
-        // Nobody listened there: it certainly did not start.
-        Err(CallError::NotSent) => back.tell(Event::Frame { attempt: id, frame: rejected }),
-        Ok(_) | Err(_) => back.tell(Event::ConnectionLost { attempt: id }),
+        // Nothing listens on the address, so the attempt certainly did not start.
+        Err(CallError::NotSent) => owner.send(Event::Frame { attempt: id, frame: rejected }),
+        Ok(_) | Err(_) => owner.send(Event::ConnectionLost { attempt: id }),
     }
 }
 
-/// Passes frames on; returns whether the last one came.
-async fn follow(back: &Back, attempt: AttemptId, body: Incoming) -> bool {
+/// Passes frames to the owner. Returns whether the last frame was received.
+async fn forward_frames(owner: &OwnerHandle, attempt: AttemptId, body: Incoming) -> bool {
     let mut lines = LineReader::open(body, MAX_FRAME_BYTES);
     while let Some(line) = lines.next().await {
         let Ok(frame) = serde_json::from_slice::<AttemptFrame>(&line) else {
             return false;
         };
         let is_last = !matches!(frame, AttemptFrame::Delta { .. });
-        back.tell(Event::Frame { attempt, frame });
+        owner.send(Event::Frame { attempt, frame });
         if is_last {
             return true;
         }
@@ -127,86 +131,95 @@
     false
 }
 
-/// Asks the process beside an endpoint what became of an attempt.
-pub(super) async fn ask(back: Back, attempt: AttemptId, endpoint: EndpointRef, epoch: Epoch) {
-    let known = {
-        let peers = back.entry.peers();
+/// Queries the process beside an endpoint for the state of an attempt.
+pub(super) async fn query_attempt(
+    owner: OwnerHandle,
+    attempt: AttemptId,
+    endpoint: EndpointRef,
+    epoch: Epoch,
+) {
+    let peer = {
+        let peers = owner.entry.peers();
         peers.peer_on(&endpoint.vm).map(|peer| (peer.heartbeat.instance, peer.heartbeat.control))
     };
-    let report = match known {
-        // A VM runs one process at a time: the run that was asked for is gone.
+    let report = match peer {
+        // A VM runs one process at a time, so the instance that got the attempt has ended.
         Some((instance, _)) if instance != endpoint.instance => AttemptReport::Forgotten,
         Some((instance, control)) => {
-            let question = ControlRequest::Ask { attempt, instance, epoch };
-            match back.entry.links.ask(control, question, ASK_TIMEOUT).await {
+            let control_request = ControlRequest::Ask { attempt, instance, epoch };
+            match owner.entry.links.ask(control, control_request, PEER_TIMEOUT).await {
                 Ok(ControlReply::Report(report)) => report,
                 Ok(_) | Err(_) => AttemptReport::NoAnswer,
             }
         }
         None => AttemptReport::NoAnswer,
     };
-    back.tell(Event::Report { attempt, report });
+    owner.send(Event::Report { attempt, report });
 }
 
 /// Asks the process beside an endpoint to stop an attempt.
-pub(super) async fn cancel(back: Back, attempt: AttemptId, endpoint: EndpointRef) {
-    order(&back, &endpoint, ControlRequest::Cancel { attempt }).await;
+pub(super) async fn cancel(owner: OwnerHandle, attempt: AttemptId, endpoint: EndpointRef) {
+    send_control(&owner, &endpoint, ControlRequest::Cancel { attempt }).await;
 }
 
-/// Asks the process beside an endpoint to free a program's conversation. Should the message be
-/// lost, the lease there runs out.
-pub(super) async fn free(back: Back, program: ProgramId, endpoint: EndpointRef) {
-    order(&back, &endpoint, ControlRequest::Free { program }).await;
+/// Asks the process beside an endpoint to free the cache that it holds for a program. If the
+/// message is lost, the cache is freed when its lease expires.
+pub(super) async fn free(owner: OwnerHandle, program: ProgramId, endpoint: EndpointRef) {
+    send_control(&owner, &endpoint, ControlRequest::Free { program }).await;
 }
 
-async fn order(back: &Back, endpoint: &EndpointRef, request: ControlRequest) {
-    let control = back.entry.peers().peer_on(&endpoint.vm).map(|peer| peer.heartbeat.control);
+async fn send_control(owner: &OwnerHandle, endpoint: &EndpointRef, request: ControlRequest) {
+    let control = owner.entry.peers().peer_on(&endpoint.vm).map(|peer| peer.heartbeat.control);
     if let Some(control) = control {
-        let _ = back.entry.links.ask(control, request, ASK_TIMEOUT).await;
+        let _ = owner.entry.links.ask(control, request, PEER_TIMEOUT).await;
     }
 }
 
-/// Writes to the configuration stream until the log takes it, and then leaves the matter to the
-/// book. Sending it twice does no harm: a crash is counted once.
+/// Appends a record to the configuration stream, retrying until the log accepts it. Local crashes
+/// are kept until the record is applied from the stream. A duplicate does no harm: a crash counts
+/// once.
 pub(super) async fn publish(entry: Arc<Entry>, record: ConfigRecord) {
-    let recorded = publish_until_taken(&entry, &record).await;
+    let recorded = append_with_retries(&entry, &record).await;
     if matches!(record, ConfigRecord::Suspect { .. }) {
-        entry.settle_crash_record();
+        entry.remove_pending_crash_record();
     }
     match recorded {
-        Some(offset) => leave_to_book(&entry, &record, offset).await,
-        None => log::error!("a crash could not be recorded: the log took nothing for minutes"),
+        Some(offset) => remove_once_applied(&entry, &record, offset).await,
+        None => log::error!(
+            "giving up on a crash record after {MAX_PUBLISH_ATTEMPTS} failed appends to the log"
+        ),
     }
 }
 
-async fn publish_until_taken(entry: &Entry, record: &ConfigRecord) -> Option<Offset> {
-    for _ in 0..PUBLISH_TRIES {
+async fn append_with_retries(entry: &Entry, record: &ConfigRecord) -> Option<Offset> {
+    for _ in 0..MAX_PUBLISH_ATTEMPTS {
         match entry.log.append(CONFIG_STREAM, std::slice::from_ref(record)).await {
             Ok(at) => return Some(at.first),
-            Err(_) => tokio::time::sleep(PUBLISH_RETRY).await,
+            Err(_) => tokio::time::sleep(PUBLISH_RETRY_INTERVAL).await,
         }
     }
     None
 }
 
-/// Gives a caller its final answer about a call that crashes engines, once that is recorded: an
-/// entry that died in between would take the knowledge along, and a resend would crash another.
-pub(super) async fn reply_when_recorded(
+/// Sends the final reply to a call that crashes engines once its crashes are in the log. If the
+/// entry died after the reply and before the record, the crashes would be forgotten, and a resend
+/// of the call would crash another engine.
+pub(super) async fn reply_once_crashes_recorded(
     entry: Arc<Entry>,
     replies: mpsc::UnboundedSender<Reply>,
     reply: Reply,
 ) {
     let started = entry.clock.now();
-    while !entry.crashes_are_recorded() && entry.clock.now().since(started) < RECORD_WAIT_MS {
-        tokio::time::sleep(RECORD_POLL).await;
+    while !entry.crashes_are_recorded() && entry.clock.now().since(started) < MAX_RECORD_WAIT_MS {
+        tokio::time::sleep(RECORD_POLL_INTERVAL).await;
     }
     let _ = replies.send(reply);
 }
 
-async fn leave_to_book(entry: &Entry, record: &ConfigRecord, recorded: Offset) {
+async fn remove_once_applied(entry: &Entry, record: &ConfigRecord, recorded: Offset) {
     let mut book = entry.book.subscribe();
     let in_force = book.wait_for(|book| book.through() >= recorded).await.is_ok();
     if let (true, ConfigRecord::Suspect { workspace, digest, .. }) = (in_force, record) {
-        entry.forget_crashes(workspace, digest);
+        entry.remove_local_crashes(workspace, digest);
     }
 }
--- a/src/entry/wire.rs
+++ b/src/entry/turn_message.rs
@@ -1,29 +1,30 @@
 use crate::prelude::*;
 use crate::programs::{ProgramLimits, TurnRequest, Work};
 
-/// A call on its way from the entry that admitted it to the one that owns its program.
+/// A turn as the entry that admitted it forwards it to the entry that owns its program.
 #[wire]
 pub struct TurnMessage {
     /// The program.
     pub program: ProgramId,
-    /// Its place, if the caller numbers its calls.
+    /// The turn's number, if the caller numbers its calls.
     pub turn: Option<TurnNo>,
-    /// The caller's key for repeats.
+    /// The caller's idempotency key, equal on every repeat of one call.
     pub idempotency_key: Option<Arc<str>>,
-    /// Digest of the call.
+    /// Digest of the work, which tells a repeat from another call with the same number.
     pub digest: Digest,
     /// What to run.
     pub work: Work,
-    /// Time left until the caller stops waiting. Clocks of two processes are never compared.
+    /// Time left until the caller stops waiting. It is relative because clocks of two processes
+    /// are never compared.
     pub deadline_in_ms: u64,
-    /// What the program may use.
+    /// Token budget and turn limit of the program.
     pub limits: ProgramLimits,
-    /// The workspace's part of what there is, against the others'.
+    /// The workspace's weight when capacity is shared between workspaces.
     pub weight: u32,
 }
 
 impl TurnMessage {
-    /// The call as the owner sees it at `now`.
+    /// The request as the owner runs it, with the deadline on its own clock, where it is `now`.
     pub fn into_request(self, now: TimeMs) -> TurnRequest {
         TurnRequest {
             program: self.program,
@@ -37,8 +38,8 @@
         }
     }
 
-    /// The call as it is sent at `now`.
-    pub fn of_request(request: &TurnRequest, now: TimeMs) -> TurnMessage {
+    /// The message for a request that is sent at `now`.
+    pub fn from_request(request: &TurnRequest, now: TimeMs) -> TurnMessage {
         TurnMessage {
             program: request.program.clone(),
             turn: request.turn,
--- a/src/membership/heartbeat.rs
+++ b/src/membership/heartbeat.rs
@@ -2,13 +2,13 @@
 
 use crate::prelude::*;
 
-/// What a process is.
+/// The role of a process.
 #[wire]
 #[derive(Copy)]
 pub enum Role {
-    /// An entry.
+    /// A proxy node.
     Entry,
-    /// The process beside an endpoint.
+    /// The process that runs beside an endpoint and dispatches calls to it.
     Endpoint,
 }
 
@@ -16,72 +16,73 @@
 #[wire]
 #[derive(Copy)]
 pub enum PeerState {
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has.
+    /// Draining: finishes its current work and accepts no more.
     Leaving,
 }
 
-/// What a process tells of its duty.
+/// The part of a heartbeat that depends on the sender's role.
 #[wire]
 pub enum RoleStatus {
-    /// An entry's.
+    /// Sent by an entry.
     Entry {
-        /// The last configuration record that it has applied.
+        /// Offset of the last configuration record that it has applied.
         config: Offset,
-        /// How long ago it read the log's end, if ever.
+        /// Milliseconds since it last read up to the end of the log; `None` before the first time.
         log_age_ms: Option<u64>,
-        /// The shards that it owns, with their epochs.
+        /// The shards that it owns, with the epoch of each ownership.
         owned: Vec<(ShardId, Epoch)>,
     },
-    /// That of a process beside an endpoint.
+    /// Sent by the process beside an endpoint.
     Endpoint {
-        /// What the endpoint serves.
+        /// The model or service that the endpoint serves.
         serves: ModelName,
-        /// Calls that run.
+        /// Calls in flight at the endpoint.
         running: u32,
-        /// Calls that wait.
+        /// Calls queued in the process.
         queued: u32,
-        /// Calls that can run at once.
+        /// Maximum number of calls that run at once.
         concurrency: u32,
     },
 }
 
-/// A datagram that says: I am here, and this is how I do.
+/// A datagram that announces a process and reports its status.
 #[wire]
 pub struct Heartbeat {
     /// The sender's VM.
     pub vm: VmName,
-    /// The sender's run.
+    /// The sender's process instance.
     pub instance: Instance,
-    /// When that run started; a later run replaces an earlier one under the same name.
+    /// When that instance started; a later instance replaces an earlier one on the same VM.
     pub started: UnixMs,
-    /// Counts the heartbeats of the run, so that a late datagram takes nothing back.
+    /// Number of this heartbeat within the instance; receivers discard datagrams that arrive out
+    /// of order.
     pub sequence: u64,
     /// The sender's failure domain.
     pub failure_domain: Arc<str>,
-    /// Where it takes calls of other processes.
+    /// Where the sender accepts calls from other processes.
     pub address: SocketAddr,
-    /// Where it takes control messages.
+    /// Where the sender accepts control messages.
     pub control: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether the sender accepts new work.
     pub state: PeerState,
-    /// What it does.
+    /// Status fields that depend on the sender's role.
     pub role_status: RoleStatus,
 }
 
 impl Heartbeat {
-    /// The datagram.
+    /// Encodes the heartbeat as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a datagram; anything else than a heartbeat gives nothing.
+    /// Decodes a datagram; `None` if it is not a heartbeat.
     pub fn decode(bytes: &[u8]) -> Option<Heartbeat> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// What the sender is.
+    /// The sender's role.
     pub fn role(&self) -> Role {
         match self.role_status {
             RoleStatus::Entry { .. } => Role::Entry,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,12 +1,13 @@
-//! Who is there: direct heartbeats, suspicion before death, and the platform's lagging list.
+//! Membership of the cluster: failure detection by direct heartbeats, combined with the platform's
+//! VM list, which lags behind.
 
 mod heartbeat;
-mod life;
+mod liveness;
 mod table;
 mod vm_list;
 
 pub use heartbeat::{Heartbeat, PeerState, Role, RoleStatus};
-pub use life::{Life, LifeEvent};
+pub use liveness::{Liveness, LivenessEvent};
 pub use table::{LivenessTimeouts, Peer, PeerKey, PeerTable};
 pub use vm_list::{ListedVm, VmList};
 
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -3,102 +3,103 @@
 
 use slotmap::SlotMap;
 
-use crate::membership::{Heartbeat, Life, LifeEvent, PeerState, Role, RoleStatus, VmList};
+use crate::membership::{Heartbeat, Liveness, LivenessEvent, PeerState, Role, RoleStatus, VmList};
 use crate::prelude::*;
 
 slotmap::new_key_type! {
-    /// A peer in a [`PeerTable`].
+    /// Identifies a peer in a [`PeerTable`].
     pub struct PeerKey;
 }
 
-/// When silence becomes suspicion, death and oblivion.
+/// Times without a heartbeat after which a peer is suspected, considered dead and removed.
 #[value]
 #[derive(Copy)]
 pub struct LivenessTimeouts {
-    /// Silence that makes a peer suspect.
+    /// Time without a heartbeat after which a peer is suspected and gets no new work.
     pub suspect_ms: u64,
-    /// Silence that makes it dead.
+    /// Time without a heartbeat after which a peer is considered dead.
     pub dead_ms: u64,
-    /// Silence after which it is forgotten.
-    pub forget_ms: u64,
+    /// Time without a heartbeat after which a peer is removed from the table.
+    pub remove_ms: u64,
 }
 
 impl LivenessTimeouts {
-    /// Three missed heartbeats raise suspicion, eight mean death.
+    /// The timeouts for a heartbeat interval: a peer is suspected after three missed heartbeats
+    /// (plus half an interval) and dead after eight.
     pub fn for_heartbeat(heartbeat_ms: u64) -> LivenessTimeouts {
         LivenessTimeouts {
             suspect_ms: heartbeat_ms * 3 + heartbeat_ms / 2,
             dead_ms: heartbeat_ms * 8,
-            forget_ms: heartbeat_ms * 400,
+            remove_ms: heartbeat_ms * 400,
         }
     }
 }
 
-/// Another process of the system.
+/// Another process of the cluster.
 pub struct Peer {
-    /// The newest heartbeat.
+    /// The latest heartbeat received.
     pub heartbeat: Heartbeat,
-    /// When it came.
+    /// When that heartbeat arrived.
     pub heard_at: TimeMs,
-    /// Stands for the VM where peers are ranked.
+    /// Hash of the VM's name, for ranking peers.
     pub vm_hash: u64,
-    life: Life,
+    liveness: Liveness,
     listed_leaving: bool,
 }
 
 impl Peer {
-    /// Whether it takes new work, as far as is known.
+    /// Whether the peer accepts new work, as far as this process knows.
     pub fn is_live(&self) -> bool {
-        self.life.is_live() && !self.listed_leaving
+        self.liveness.is_live() && !self.listed_leaving
     }
 
-    /// Whether it counts as gone.
+    /// Whether the peer is considered dead.
     pub fn is_dead(&self) -> bool {
-        self.life.is_dead()
+        self.liveness.is_dead()
     }
 
-    /// Its run.
+    /// The peer's process instance on its VM.
     pub fn endpoint_ref(&self) -> EndpointRef {
         EndpointRef { vm: self.heartbeat.vm.clone(), instance: self.heartbeat.instance }
     }
 }
 
-/// The other processes, as this one sees them.
+/// The other processes of the cluster, as observed by this one.
 pub struct PeerTable {
-    timings: LivenessTimeouts,
+    timeouts: LivenessTimeouts,
     peers: SlotMap<PeerKey, Peer>,
     by_vm: HashMap<VmName, PeerKey>,
-    listed: VmList,
+    vm_list: VmList,
 }
 
 impl PeerTable {
-    /// An empty table.
-    pub fn new(timings: LivenessTimeouts) -> PeerTable {
+    /// Creates an empty table.
+    pub fn new(timeouts: LivenessTimeouts) -> PeerTable {
         PeerTable {
-            timings,
+            timeouts,
             peers: SlotMap::with_key(),
             by_vm: HashMap::new(),
-            listed: VmList::default(),
+            vm_list: VmList::default(),
         }
     }
 
-    /// Takes a heartbeat. Returns whether it came from a run that was not known.
+    /// Records a heartbeat. Returns whether it is the first one of its process instance.
     pub fn record_heartbeat(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
         let known = self.by_vm.get(&heartbeat.vm).and_then(|key| self.peers.get_mut(*key));
         let event = match heartbeat.state {
-            PeerState::Live => LifeEvent::HeardLive,
-            PeerState::Leaving => LifeEvent::HeardLeaving,
+            PeerState::Live => LivenessEvent::HeartbeatLive,
+            PeerState::Leaving => LivenessEvent::HeartbeatLeaving,
         };
         match known {
             Some(peer) if peer.heartbeat.instance == heartbeat.instance => {
                 if peer.heartbeat.sequence < heartbeat.sequence {
                     peer.heartbeat = heartbeat;
                     peer.heard_at = now;
-                    peer.life.handle(event);
+                    peer.liveness.handle(event);
                 }
                 false
             }
-            // A late datagram of the run before.
+            // A delayed datagram from an earlier instance on the VM.
             Some(peer) if peer.heartbeat.started > heartbeat.started => false,
             _ => {
                 self.add(now, heartbeat, event);
@@ -107,56 +108,57 @@
         }
     }
 
-    fn add(&mut self, now: TimeMs, heartbeat: Heartbeat, event: LifeEvent) {
+    fn add(&mut self, now: TimeMs, heartbeat: Heartbeat, event: LivenessEvent) {
         if let Some(old) = self.by_vm.remove(&heartbeat.vm) {
             self.peers.remove(old);
         }
         let vm = heartbeat.vm.clone();
-        let mut life = Life::new();
-        life.handle(event);
+        let mut liveness = Liveness::new();
+        liveness.handle(event);
         let vm_hash = Digest::of(&[vm.as_str().as_bytes()]).prefix();
-        let peer = Peer { heartbeat, heard_at: now, vm_hash, life, listed_leaving: false };
+        let peer = Peer { heartbeat, heard_at: now, vm_hash, liveness, listed_leaving: false };
         let key = self.peers.insert(peer);
         self.by_vm.insert(vm, key);
-        self.mark_listed();
+        self.update_listed_leaving();
     }
 
-    /// Takes the platform's list.
+    /// Replaces the platform's VM list.
     pub fn set_vm_list(&mut self, list: VmList) {
-        self.listed = list;
-        self.mark_listed();
+        self.vm_list = list;
+        self.update_listed_leaving();
     }
 
-    fn mark_listed(&mut self) {
+    fn update_listed_leaving(&mut self) {
         for peer in self.peers.values_mut() {
-            let listed = self.listed.vms.iter().find(|vm| vm.vm == peer.heartbeat.vm.as_str());
+            let listed = self.vm_list.vms.iter().find(|vm| vm.vm == peer.heartbeat.vm.as_str());
             peer.listed_leaving = listed.is_some_and(|vm| vm.is_leaving());
         }
     }
 
-    /// Lets time pass: silence turns into suspicion, death and oblivion.
+    /// Marks peers as suspect or dead, or removes them, by the time since their last heartbeat.
     pub fn tick(&mut self, now: TimeMs) {
         for peer in self.peers.values_mut() {
             let silent_ms = now.since(peer.heard_at);
-            if silent_ms >= self.timings.dead_ms {
-                peer.life.handle(LifeEvent::SilentLong);
-            } else if silent_ms >= self.timings.suspect_ms {
-                peer.life.handle(LifeEvent::Silent);
+            if silent_ms >= self.timeouts.dead_ms {
+                peer.liveness.handle(LivenessEvent::Failed);
+            } else if silent_ms >= self.timeouts.suspect_ms {
+                peer.liveness.handle(LivenessEvent::SuspectTimeout);
             }
         }
-        let forget_ms = self.timings.forget_ms;
-        self.peers.retain(|_, peer| now.since(peer.heard_at) < forget_ms);
+        let remove_ms = self.timeouts.remove_ms;
+        self.peers.retain(|_, peer| now.since(peer.heard_at) < remove_ms);
         self.by_vm.retain(|_, key| self.peers.contains_key(*key));
     }
 
-    /// Takes note that nothing listens any more where a peer did: its run is gone.
+    /// Marks a peer as dead because its address refused a connection: no process listens there any
+    /// more.
     pub fn mark_dead(&mut self, vm: &VmName) {
         if let Some(peer) = self.by_vm.get(vm).and_then(|key| self.peers.get_mut(*key)) {
-            peer.life.handle(LifeEvent::SilentLong);
+            peer.liveness.handle(LivenessEvent::Failed);
         }
     }
 
-    /// Every peer.
+    /// All peers, dead ones included.
     pub fn all(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
@@ -166,12 +168,12 @@
         self.peers.get(*self.by_vm.get(vm)?)
     }
 
-    /// Entries that take new work.
+    /// Entries that accept new work.
     pub fn live_entries(&self) -> impl Iterator<Item = &Peer> {
         self.all().filter(|peer| peer.heartbeat.role() == Role::Entry && peer.is_live())
     }
 
-    /// Processes beside endpoints that take new work for a model or service.
+    /// Processes beside endpoints of this model or service that accept new work.
     pub fn live_endpoints<'a>(&'a self, target: &'a ModelName) -> impl Iterator<Item = &'a Peer> {
         let serves = move |peer: &&Peer| match &peer.heartbeat.role_status {
             RoleStatus::Endpoint { serves, .. } => serves == target,
@@ -180,7 +182,7 @@
         self.all().filter(|peer| peer.is_live()).filter(serves)
     }
 
-    /// The peer that owns a shard under the newest epoch, unless it counts as gone.
+    /// The peer that owns a shard under the highest epoch, among those not considered dead.
     pub fn owner_of(&self, shard: ShardId) -> Option<(&Peer, Epoch)> {
         let epoch_of = |peer: &Peer| match &peer.heartbeat.role_status {
             RoleStatus::Entry { owned, .. } => {
@@ -192,9 +194,9 @@
         owners.filter_map(|peer| Some((peer, epoch_of(peer)?))).max_by_key(|(_, epoch)| *epoch)
     }
 
-    /// Where heartbeats go: the listed entries, and every entry that was heard.
+    /// Where to send heartbeats: the listed entries and all entries heard from that are not dead.
     pub fn heartbeat_targets(&self) -> Vec<SocketAddr> {
-        let listed = self.listed.vms.iter().filter(|vm| vm.is_entry()).map(|vm| vm.address);
+        let listed = self.vm_list.vms.iter().filter(|vm| vm.is_entry()).map(|vm| vm.address);
         let entries = self.all().filter(|peer| peer.heartbeat.role() == Role::Entry);
         let heard = entries.filter(|peer| !peer.is_dead()).map(|peer| peer.heartbeat.address);
         let mut targets: Vec<SocketAddr> = listed.chain(heard).collect();
@@ -203,14 +205,14 @@
         targets
     }
 
-    /// Entries that the platform lists.
+    /// Number of entries in the platform's list.
     pub fn listed_entries(&self) -> usize {
-        self.listed.vms.iter().filter(|vm| vm.is_entry()).count()
+        self.vm_list.vms.iter().filter(|vm| vm.is_entry()).count()
     }
 
-    /// Whether every listed entry but `me` has been heard.
+    /// Whether a heartbeat has arrived from every listed entry other than `me`.
     pub fn heard_all_listed_entries(&self, me: &VmName) -> bool {
-        let others = self.listed.vms.iter().filter(|vm| vm.is_entry() && vm.vm != me.as_str());
+        let others = self.vm_list.vms.iter().filter(|vm| vm.is_entry() && vm.vm != me.as_str());
         others.into_iter().all(|vm| self.by_vm.keys().any(|heard| heard.as_str() == vm.vm))
     }
 }
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -22,7 +22,7 @@
 }
 
 fn table() -> PeerTable {
-    PeerTable::new(LivenessTimeouts { suspect_ms: 300, dead_ms: 800, forget_ms: 10_000 })
+    PeerTable::new(LivenessTimeouts { suspect_ms: 300, dead_ms: 800, remove_ms: 10_000 })
 }
 
 fn live(table: &PeerTable) -> usize {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn silence_is_suspicion_first_and_death_later() {
+fn silent_peer_is_suspected_before_it_is_dead() {
     let mut table = table();
     table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     table.tick(TimeMs(400));
@@ -45,10 +45,10 @@
     assert_eq!((live(&table), dead(&table)), (0, 1));
 }
 
-/// A leaving endpoint gets no new work although the platform's list still calls it live, and
-/// although an older heartbeat, delayed by the network, comes in after it said that it leaves.
+/// A leaving endpoint must get no new work, even if heartbeats that report it as live arrive after
+/// the one that announced its leaving, whether delayed by the network or sent later.
 #[test]
-fn a_leaving_endpoint_stays_out_whatever_comes_late() {
+fn leaving_endpoint_gets_no_work_after_late_heartbeats() {
     let mut table = table();
     table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     let leaving = Heartbeat { state: PeerState::Leaving, ..heartbeat("m1", 1, 0, 3) };
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_vm_replaced_under_its_name_is_another_instance() {
+fn replaced_vm_with_the_same_name_is_a_new_instance() {
     let mut table = table();
     assert!(table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 100, 50)));
     assert!(table.record_heartbeat(TimeMs(10), heartbeat("m1", 2, 200, 1)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_platforms_list_alone_stops_new_work_too() {
+fn endpoint_listed_as_leaving_gets_no_new_work() {
     let mut table = table();
     table.record_heartbeat(TimeMs(0), heartbeat("m1", 1, 0, 1));
     let address = "127.0.0.1:1".parse().unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn heartbeats_survive_their_encoding_and_garbage_gives_none() {
+fn heartbeat_round_trips_and_garbage_is_rejected() {
     let sent = heartbeat("m1", 7, 1, 2);
     assert_eq!(Heartbeat::decode(&sent.encode()), Some(sent));
     assert_eq!(Heartbeat::decode(&[1, 2, 3]), None);
--- a/src/programs/active.rs
+++ b/src/programs/active.rs
@@ -1,75 +1,79 @@
 use crate::prelude::*;
 use crate::programs::{CallId, IntentRecord, TurnRequest};
 
-/// Where an active turn stands.
+/// Phase of a turn in flight.
 #[value]
 #[derive(Copy)]
 pub enum Phase {
-    /// Its intent is on the way to the log; nothing was dispatched.
+    /// The attempt's intent is being appended to the log; the attempt is not dispatched yet.
     RecordingIntent,
-    /// An attempt was dispatched.
+    /// An attempt was dispatched and its frames are awaited.
     Running,
-    /// The attempt's outcome is not known; the process beside the endpoint is being asked.
+    /// The attempt's outcome is not known to the owner, which queries the endpoint process for a
+    /// report.
     AwaitingReport {
-        /// When to ask again.
+        /// Time of the next query.
         next_query_at: TimeMs,
-        /// How often nobody answered.
+        /// Number of consecutive queries without an answer.
         unanswered: u32,
     },
-    /// The last attempt failed; another may start at this time.
+    /// The last attempt failed; the next one waits for its backoff.
     BackingOff {
-        /// When.
+        /// Earliest time of the next attempt.
         until: TimeMs,
     },
-    /// The result is on the way to the log.
+    /// The turn's outcome is being appended to the log.
     RecordingOutcome,
 }
 
-/// A caller waiting for a turn.
+/// A caller that waits for a turn.
 #[value]
 #[derive(Copy)]
 pub struct Waiter {
     /// The caller.
     pub call: CallId,
-    /// When it stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: TimeMs,
 }
 
-/// A turn that is not recorded as done yet.
+/// A turn in flight: requested, but its outcome is not recorded yet.
 #[value]
 pub struct ActiveTurn {
-    /// Its number.
+    /// The turn's number.
     pub turn: TurnNo,
-    /// Digest of the call.
+    /// Digest of the caller's request.
     pub digest: Digest,
-    /// The call; `None` if an earlier owner dispatched it and no caller has come back yet.
+    /// The request; `None` if an earlier owner dispatched the turn and no caller has repeated the
+    /// request since.
     pub request: Option<TurnRequest>,
-    /// The newest attempt.
+    /// The latest attempt.
     pub attempt: AttemptId,
-    /// Where that attempt goes.
+    /// Target of that attempt.
     pub endpoint: EndpointRef,
-    /// Whether it may run again after an unknown outcome.
+    /// Whether the call may be run again if its outcome is unknown.
     pub idempotent: bool,
-    /// Tokens that the attempt has reserved.
+    /// Tokens reserved by the latest attempt.
     pub reserve_tokens: u64,
-    /// The caller's key for repeats of the call.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
-    /// Tokens that failed attempts are known to have generated.
+    /// Tokens that failed attempts reported as generated.
     pub generated_tokens: u64,
     /// Callers to answer.
     pub waiters: Vec<Waiter>,
-    /// Text streamed so far, over all attempts: a later attempt goes on from its end.
+    /// Text streamed so far by all attempts; a later attempt resumes at its end.
     pub text: String,
-    /// Attempts dispatched so far.
+    /// Number of attempts dispatched so far.
     pub attempts: u32,
-    /// Whether the newest attempt runs alone.
+    /// Whether the latest attempt runs alone on its endpoint, because the call is suspected of
+    /// crashing engines.
     pub alone: bool,
-    /// Where it stands.
+    /// The turn's current phase.
     pub phase: Phase,
 }
 
 impl ActiveTurn {
-    /// A turn that an earlier owner left open, to be asked about.
+    /// A turn whose intent an earlier owner recorded without an outcome. The endpoint process has
+    /// to be queried for what became of it.
     pub fn from_open_intent(open: &IntentRecord, now: TimeMs) -> ActiveTurn {
         ActiveTurn {
             turn: open.turn,
@@ -89,7 +93,7 @@
         }
     }
 
-    /// The latest time at which a caller still waits.
+    /// The latest deadline of the waiting callers.
     pub fn deadline(&self) -> Option<TimeMs> {
         self.waiters.iter().map(|waiter| waiter.deadline).max()
     }
--- a/src/programs/call.rs
+++ b/src/programs/call.rs
@@ -4,64 +4,65 @@
 
 use crate::prelude::*;
 
-/// A waiting caller, within one owner.
+/// Identifies a waiting caller; unique within the entry's process.
 #[key]
 pub struct CallId(pub u64);
 
-/// One message of a conversation, kept as the caller wrote it.
+/// One message of a conversation, stored as the caller sent it.
 #[wire]
 pub struct Message {
     /// `system`, `user`, `assistant` or `tool`.
     pub role: Arc<str>,
-    /// Text, or parts as the protocol allows.
+    /// A text, or an array of parts as the chat protocol allows.
     pub content: Value,
-    /// Further fields, passed through unread.
+    /// All other fields, passed through unread.
     #[serde(flatten)]
-    pub rest: Map<String, Value>,
+    pub other_fields: Map<String, Value>,
 }
 
 impl Message {
-    /// A message of plain text.
+    /// A plain text message.
     pub fn text(role: &str, content: &str) -> Message {
-        Message { role: role.into(), content: content.into(), rest: Map::new() }
+        Message { role: role.into(), content: content.into(), other_fields: Map::new() }
     }
 
-    /// Rough size: that of a text, or a constant for parts.
+    /// Approximate size, to estimate cost: the length of a text, or a constant for other content.
     pub fn approx_bytes(&self) -> usize {
-        const PARTS_BYTES: usize = 256;
-        self.content.as_str().map_or(PARTS_BYTES, str::len)
+        const NON_TEXT_BYTES: usize = 256;
+        self.content.as_str().map_or(NON_TEXT_BYTES, str::len)
     }
 }
 
-/// What a call asks for.
+/// The work that a call requests.
 #[wire]
 pub enum Work {
-    /// A completion; only the messages that are new in this turn.
+    /// A chat completion. It carries only the messages that are new in this turn.
     Model {
         /// The model to run.
         model: ModelName,
-        /// New messages; the history before them is the system's.
+        /// New messages; the owner prepends the recorded history.
         messages: Vec<Message>,
-        /// The most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
         /// Further parameters, such as `temperature`, passed through unread.
         parameters: Map<String, Value>,
     },
-    /// A call of a plain service.
+    /// A call of a service.
     Service {
         /// The service.
         service: ModelName,
-        /// The action at that service.
+        /// The action to perform at the service.
         action: Arc<str>,
         /// The body, as the caller sent it.
         body: Arc<str>,
-        /// Whether it is idempotent, by contract: if not, it is dispatched at most once.
+        /// Whether the workspace's contract declares the action idempotent. If not, it is run at
+        /// most once.
         idempotent: bool,
     },
 }
 
 impl Work {
-    /// The model or service that has to run it.
+    /// The model or service that the work is for.
     pub fn target(&self) -> &ModelName {
         match self {
             Work::Model { model, .. } => model,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The class that its metrics are counted under.
+    /// The class of work, for metrics.
     pub fn class(&self) -> &'static str {
         match self {
             Work::Model { .. } => "model",
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Lowers the token limit to what a whole budget allows.
+    /// Limits the tokens to generate to the program's total budget.
     pub fn limit_tokens(&mut self, budget_tokens: u64) {
         if let Work::Model { max_tokens, .. } = self {
             let budget = u32::try_from(budget_tokens).unwrap_or(u32::MAX);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Whether it may be run again after an outcome that nobody knows.
+    /// Whether the work may be run again if its outcome is unknown.
     pub fn idempotent(&self) -> bool {
         match self {
             Work::Model { .. } => true,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The most tokens it can generate.
+    /// Maximum number of tokens that the work can generate.
     pub fn worst_case_tokens(&self) -> u64 {
         match self {
             Work::Model { max_tokens, .. } => u64::from(*max_tokens),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Its messages, as they enter the history.
+    /// The messages that the work adds to the conversation.
     pub fn messages(&self) -> Vec<Message> {
         match self {
             Work::Model { messages, .. } => messages.clone(),
@@ -110,38 +111,38 @@
     }
 }
 
-/// What a program may use, by its workspace's contract.
+/// Limits of a program, from its workspace's contract.
 #[wire]
 #[derive(Copy)]
 pub struct ProgramLimits {
-    /// Tokens that the program and its sub-agents may generate.
+    /// Tokens that the program and its sub-agents may generate in total.
     pub budget_tokens: u64,
-    /// Calls that each of them may make.
+    /// Turns that the program and each of its sub-agents may make.
     pub max_turns: u32,
 }
 
-/// A call, checked and admitted, on its way to the program's owner.
+/// A validated and admitted call, as sent to the owner of the program's shard.
 #[value]
 pub struct TurnRequest {
     /// The program.
     pub program: ProgramId,
-    /// Its place, if the caller numbers its calls.
+    /// The turn number, if the caller numbers its calls.
     pub turn: Option<TurnNo>,
-    /// The caller's key for repeats of one call.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
-    /// Digest of what was asked, to tell a repeat from another call under the same number.
+    /// Digest of the requested work, to tell a repeat from another call with the same number.
     pub digest: Digest,
-    /// What to run.
+    /// The work to run.
     pub work: Work,
-    /// When the caller stops waiting, on the owner's clock.
+    /// Time at which the caller stops waiting, on the owner's clock.
     pub deadline: TimeMs,
-    /// What the program may use.
+    /// The program's limits.
     pub limits: ProgramLimits,
-    /// The workspace's part of what there is, against the others': its contract's rate.
+    /// The workspace's weight when endpoints are shared between workspaces: its contracted rate.
     pub weight: u32,
 }
 
-/// Tokens that a call used.
+/// Tokens used by a call.
 #[wire]
 #[derive(Copy, Default)]
 pub struct Usage {
@@ -151,36 +152,36 @@
     pub completion_tokens: u64,
 }
 
-/// Why an answer ended.
+/// Why generation ended.
 #[wire]
 #[derive(Copy)]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended its answer.
     Stop,
-    /// It reached its token limit.
+    /// The answer reached its token limit.
     Length,
 }
 
-/// The final result of a turn. The same is given on every resend.
+/// The final result of a turn. Every repeat of the call gets the same result.
 #[wire]
 pub enum TurnResult {
     /// A completion.
     Answered {
-        /// The whole text.
+        /// The complete text.
         text: Arc<str>,
-        /// Why it ended.
+        /// Why generation ended.
         finish: FinishReason,
-        /// What it used.
+        /// Tokens used.
         usage: Usage,
     },
-    /// A service's reply.
+    /// A service's response.
     Served {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: Arc<str>,
     },
-    /// Nobody knows whether it ran; it is not run again.
+    /// It is unknown whether the call ran, and it will not be run again.
     Unknown,
 }
 
@@ -188,11 +189,11 @@
 #[wire]
 #[derive(Copy)]
 pub enum ExecutionStatus {
-    /// It did not, and will not.
+    /// The call did not run, and will not.
     NotRun,
-    /// It did.
+    /// The call ran.
     Ran,
-    /// It may have.
+    /// The call may have run.
     Unknown,
 }
 
@@ -200,43 +201,43 @@
 #[wire]
 #[derive(Copy)]
 pub enum RefusalReason {
-    /// Its number lies beyond the next.
+    /// The turn number is greater than that of the next turn.
     TurnTooEarly {
-        /// The number that comes next.
+        /// The number of the next turn.
         expected: TurnNo,
     },
-    /// Another call already has this number.
+    /// Another call was already made under this turn number or idempotency key.
     TurnConflict,
-    /// Another call of the program is under way.
+    /// Another call of the program is in flight.
     ProgramBusy,
     /// The program has ended.
     ProgramEnded,
-    /// Part of the program's history has left the log.
+    /// Part of the program's history has expired from the log.
     HistoryGap,
     /// The program's token budget can't cover the call.
     BudgetExhausted,
-    /// The program has made all the calls that it may.
+    /// The program has made its maximum number of turns.
     TurnsExhausted,
     /// No live endpoint serves the model or service.
     NoEndpoint,
-    /// The endpoints have more than they can run in time.
+    /// The endpoints have more work queued than they can run in time.
     Overloaded,
-    /// The deadline has passed.
+    /// The caller's deadline has passed.
     DeadlinePassed,
-    /// The log takes no records at present.
+    /// The log does not accept records at present.
     LogUnavailable,
     /// This entry does not own the program's shard.
     NotOwner,
-    /// The entry that owned the program was lost with the call.
+    /// The connection to the entry that owns the program's shard broke during the call.
     OwnerLost,
     /// Every attempt failed.
     AttemptsFailed,
-    /// The call crashed two endpoints and is not run again.
+    /// The call crashed an engine while it ran alone there, and is not run again.
     CrashesEndpoints,
 }
 
 impl RefusalReason {
-    /// The code that callers see.
+    /// The error code sent to callers.
     pub fn code(&self) -> &'static str {
         match self {
             RefusalReason::TurnTooEarly { .. } => "turn_too_early",
@@ -258,30 +259,30 @@
     }
 }
 
-/// A refusal: whether the call ran, why, and when to come back if that is worth it.
+/// The refusal of a call.
 #[wire]
 #[derive(Copy)]
 pub struct Refusal {
     /// Whether the call ran.
     pub ran: ExecutionStatus,
-    /// Why it was refused.
+    /// Why the call was refused.
     pub reason: RefusalReason,
-    /// When a repeat can succeed; `None` if it can't.
+    /// Delay after which a retry can succeed; `None` if no retry can.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a call that did not run and is not worth repeating as it is.
+    /// The refusal of a call that did not run, and for which an unchanged retry is useless.
     pub fn not_run(reason: RefusalReason) -> Refusal {
         Refusal { ran: ExecutionStatus::NotRun, reason, retry_after_ms: None }
     }
 
-    /// A refusal of a call that may have run.
+    /// The refusal of a call that may have run.
     pub fn unknown(reason: RefusalReason) -> Refusal {
         Refusal { ran: ExecutionStatus::Unknown, reason, retry_after_ms: None }
     }
 
-    /// The same, worth repeating after a while.
+    /// Adds the delay after which the caller may retry.
     pub fn retry_after(self, retry_after_ms: u64) -> Refusal {
         Refusal { retry_after_ms: Some(retry_after_ms), ..self }
     }
@@ -293,31 +294,31 @@
     }
 }
 
-/// What a waiting caller is told. `Answer` and `Refused` are final.
+/// A message to a waiting caller. All but `Delta` are final.
 #[wire]
 pub enum Reply {
-    /// More text of the answer.
+    /// The next part of the answer's text.
     Delta {
         /// The text.
         text: Arc<str>,
     },
-    /// The recorded result.
+    /// The recorded result of the turn.
     Answer {
         /// The turn's number.
         turn: TurnNo,
-        /// The result.
+        /// The turn's result.
         result: TurnResult,
-        /// Whether it had been recorded before this call came.
+        /// Whether the result was recorded before this call arrived.
         replayed: bool,
     },
     /// The call was refused, or its outcome is not known.
     Refused(Refusal),
-    /// The program has ended, and this is recorded.
+    /// The end of the program is recorded.
     Ended,
 }
 
 impl Reply {
-    /// Whether nothing follows.
+    /// Whether this is the last message to the caller.
     pub fn is_final(&self) -> bool {
         !matches!(self, Reply::Delta { .. })
     }
--- a/src/programs/mod.rs
+++ b/src/programs/mod.rs
@@ -1,7 +1,9 @@
-//! Programs: their order, history, budgets and irreversible calls, kept through the log.
+//! Runs the turns of programs: in order, on the recorded history, within the token budget, and
+//! non-idempotent calls at most once.
 //!
-//! One entry owns a shard at a time. It records each turn in the shard's stream; whoever folds
-//! that stream comes to the same state, and a record of an owner that has been replaced is void.
+//! One entry owns a shard at a time and records each turn in the shard's stream of the log.
+//! Replaying the stream gives every reader the same state, and records written by an owner that
+//! has been replaced are ignored.
 
 mod active;
 mod call;
--- a/src/programs/owner/attempts.rs
+++ b/src/programs/owner/attempts.rs
@@ -9,13 +9,13 @@
     RefusalReason, Reply, TurnRequest, TurnResult, Work,
 };
 
-/// When to come back after every attempt of a call failed.
+/// Retry delay given after all attempts of a call failed.
 const FAILED_RETRY_MS: u64 = 1_000;
 
 impl ShardOwner {
-    /// Sends the attempt whose intent the log has just confirmed.
+    /// Dispatches the attempt whose intent was just recorded.
     pub(super) fn dispatch(&mut self, cx: &mut Context<'_>, program: &ProgramId) {
-        let Some(active) = self.active.get_mut(program) else {
+        let Some(active) = self.active_turns.get_mut(program) else {
             return;
         };
         let Some(request) = active.request.clone() else {
@@ -41,35 +41,41 @@
         cx.out.push(Action::Dispatch(attempt));
     }
 
-    pub(super) fn frame(&mut self, cx: &mut Context<'_>, attempt: AttemptId, frame: AttemptFrame) {
-        let Some(program) = self.program_running(attempt) else {
+    pub(super) fn handle_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+        attempt: AttemptId,
+        frame: AttemptFrame,
+    ) {
+        let Some(program) = self.program_of_attempt(attempt) else {
             return;
         };
         match frame {
-            AttemptFrame::Delta { text } => self.delta(cx, &program, &text),
+            AttemptFrame::Delta { text } => self.stream_text(cx, &program, &text),
             AttemptFrame::Done { result } => {
                 self.clear_suspicion(cx, &program);
                 cx.env.record_success(&program.workspace);
-                self.done(cx, &program, result);
+                self.handle_result(cx, &program, result);
             }
             AttemptFrame::Failed { cause, spent_tokens } => {
-                self.failed(cx, &program, cause, spent_tokens);
+                self.handle_failure(cx, &program, cause, spent_tokens);
             }
         }
     }
 
-    /// The program whose newest attempt this is. A frame of an earlier attempt finds none: it
-    /// would otherwise put one attempt's text into another's answer.
-    fn program_running(&self, attempt: AttemptId) -> Option<ProgramId> {
-        let current = |active: &ActiveTurn| {
-            let under_way = matches!(active.phase, Phase::Running | Phase::AwaitingReport { .. });
-            active.attempt == attempt && under_way
+    /// The program whose newest attempt this is, if it is in flight. Frames of earlier attempts are
+    /// ignored: they would mix their text into the newest attempt's answer.
+    fn program_of_attempt(&self, attempt: AttemptId) -> Option<ProgramId> {
+        let is_current = |active: &ActiveTurn| {
+            let is_in_flight =
+                matches!(active.phase, Phase::Running | Phase::AwaitingReport { .. });
+            active.attempt == attempt && is_in_flight
         };
-        self.active.iter().find(|(_, active)| current(active)).map(|(id, _)| id.clone())
+        self.active_turns.iter().find(|(_, active)| is_current(active)).map(|(id, _)| id.clone())
     }
 
-    fn delta(&mut self, cx: &mut Context<'_>, program: &ProgramId, text: &Arc<str>) {
-        let Some(active) = self.active.get_mut(program) else {
+    fn stream_text(&mut self, cx: &mut Context<'_>, program: &ProgramId, text: &Arc<str>) {
+        let Some(active) = self.active_turns.get_mut(program) else {
             return;
         };
         active.text.push_str(text);
@@ -78,9 +84,10 @@
         }
     }
 
-    fn done(&mut self, cx: &mut Context<'_>, program: &ProgramId, result: TurnResult) {
-        self.stream_rest(cx, program, &result);
-        let Some((epoch, active)) = self.ownership.epoch().zip(self.active.get_mut(program)) else {
+    fn handle_result(&mut self, cx: &mut Context<'_>, program: &ProgramId, result: TurnResult) {
+        self.stream_remaining_text(cx, program, &result);
+        let Some((epoch, active)) = self.ownership.epoch().zip(self.active_turns.get_mut(program))
+        else {
             return;
         };
         let charge_tokens = match &result {
@@ -103,14 +110,14 @@
         }));
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
         cx: &mut Context<'_>,
         program: &ProgramId,
         cause: FailureCause,
         spent_tokens: Option<u64>,
     ) {
-        let Some(active) = self.active.get(program) else {
+        let Some(active) = self.active_turns.get(program) else {
             return;
         };
         if let FailureCause::Crashed { run } = cause {
@@ -118,46 +125,52 @@
             cx.env.record_crash(&program.workspace, &active.digest, crash);
         }
         if !cause.certainly_not_run() && !active.idempotent {
-            self.done(cx, program, TurnResult::Unknown);
+            self.handle_result(cx, program, TurnResult::Unknown);
             return;
         }
         let charge_tokens = match cause.certainly_not_run() {
             true => 0,
             false => spent_tokens.unwrap_or(active.reserve_tokens),
         };
-        self.count_generated(program, spent_tokens);
+        self.add_generated_tokens(program, spent_tokens);
         self.settle(program, charge_tokens);
         self.back_off_or_give_up(cx, program, cause);
     }
 
     fn clear_suspicion(&self, cx: &mut Context<'_>, program: &ProgramId) {
-        if let Some(active) = self.active.get(program).filter(|active| active.alone) {
+        if let Some(active) = self.active_turns.get(program).filter(|active| active.alone) {
             cx.env.clear_suspect(&program.workspace, &active.digest);
         }
     }
 
-    fn count_generated(&mut self, program: &ProgramId, spent_tokens: Option<u64>) {
-        if let Some(active) = self.active.get_mut(program) {
+    fn add_generated_tokens(&mut self, program: &ProgramId, spent_tokens: Option<u64>) {
+        if let Some(active) = self.active_turns.get_mut(program) {
             active.generated_tokens += spent_tokens.unwrap_or(0);
         }
     }
 
-    /// Streams what the result holds beyond the text that was streamed: frames that a broken
-    /// connection swallowed. Each attempt goes on from the text before it, so that the streamed
-    /// text is always the beginning of the result.
-    fn stream_rest(&mut self, cx: &mut Context<'_>, program: &ProgramId, result: &TurnResult) {
+    /// Streams the part of the result that was not streamed yet because a broken connection lost
+    /// the frames. Each attempt continues the text of the one before, so the streamed text is
+    /// always a prefix of the result.
+    fn stream_remaining_text(
+        &mut self,
+        cx: &mut Context<'_>,
+        program: &ProgramId,
+        result: &TurnResult,
+    ) {
         let TurnResult::Answered { text, .. } = result else {
             return;
         };
-        let streamed = self.active.get(program).map_or("", |active| &active.text);
+        let streamed = self.active_turns.get(program).map_or("", |active| &active.text);
         match text.strip_prefix(streamed) {
             Some("") | None => {}
-            Some(rest) => self.delta(cx, program, &rest.into()),
+            Some(rest) => self.stream_text(cx, program, &rest.into()),
         }
     }
 
     fn settle(&mut self, program: &ProgramId, charge_tokens: u64) {
-        let Some((epoch, active)) = self.ownership.epoch().zip(self.active.get_mut(program)) else {
+        let Some((epoch, active)) = self.ownership.epoch().zip(self.active_turns.get_mut(program))
+        else {
             return;
         };
         let charge_tokens = charge_tokens.min(active.reserve_tokens);
@@ -176,15 +189,15 @@
         program: &ProgramId,
         cause: FailureCause,
     ) {
-        let Some(active) = self.active.get_mut(program) else {
+        let Some(active) = self.active_turns.get_mut(program) else {
             return;
         };
         let crash_status = cx.env.crash_status(&program.workspace, &active.digest);
-        let out_of_tries = active.attempts >= self.limits.max_attempts;
-        let given_up = crash_status == CrashStatus::Poison || out_of_tries;
-        let nobody_waits = active.waiters.is_empty() || cause == FailureCause::Cancelled;
-        let over = given_up || nobody_waits || active.request.is_none();
-        if over || !cx.env.try_acquire_retry(&program.workspace) {
+        let attempts_exhausted = active.attempts >= self.limits.max_attempts;
+        let no_attempts_left = crash_status == CrashStatus::Poison || attempts_exhausted;
+        let no_waiters = active.waiters.is_empty() || cause == FailureCause::Cancelled;
+        let gives_up = no_attempts_left || no_waiters || active.request.is_none();
+        if gives_up || !cx.env.try_acquire_retry(&program.workspace) {
             let reason = match crash_status {
                 CrashStatus::Poison => RefusalReason::CrashesEndpoints,
                 _ => RefusalReason::AttemptsFailed,
@@ -192,14 +205,14 @@
             self.give_up(cx, program, reason);
             return;
         }
-        let doubled = self.limits.backoff_ms << active.attempts.saturating_sub(1).min(6);
-        let jitter_ms = cx.env.random() % doubled.max(1);
-        active.phase = Phase::BackingOff { until: cx.now.plus(doubled / 2 + jitter_ms) };
+        let delay_ms = self.limits.backoff_ms << active.attempts.saturating_sub(1).min(6);
+        let jitter_ms = cx.env.random() % delay_ms.max(1);
+        active.phase = Phase::BackingOff { until: cx.now.plus(delay_ms / 2 + jitter_ms) };
     }
 
-    /// Ends the turn's attempts without a result; the caller may send the turn again.
+    /// Ends the turn without a result; the caller may send it again.
     fn give_up(&mut self, cx: &mut Context<'_>, program: &ProgramId, reason: RefusalReason) {
-        let Some(active) = self.active.remove(program) else {
+        let Some(active) = self.active_turns.remove(program) else {
             return;
         };
         let refusal = match reason {
@@ -211,9 +224,9 @@
         active.waiters.iter().for_each(|waiter| cx.refuse(waiter.call, refusal));
     }
 
-    /// Starts another attempt, on another endpoint if there is one.
-    pub(super) fn attempt_again(&mut self, cx: &mut Context<'_>, program: &ProgramId) {
-        let Some(active) = self.active.get(program) else {
+    /// Starts another attempt, on a different endpoint if there is one.
+    pub(super) fn start_next_attempt(&mut self, cx: &mut Context<'_>, program: &ProgramId) {
+        let Some(active) = self.active_turns.get(program) else {
             return;
         };
         let Some(request) = active.request.clone() else {
@@ -222,11 +235,11 @@
         let settled =
             self.shard_state.program(program).is_none_or(|state| state.open_intent.is_none());
         if !settled {
-            // The log still counts the last attempt's reservation against the budget.
+            // The last attempt's reservation still counts against the budget.
             return;
         }
         let avoid = active.endpoint.vm.clone();
-        let endpoint = match self.place(cx, &request, Some(&avoid)) {
+        let endpoint = match self.choose_endpoint(cx, &request, Some(&avoid)) {
             Ok(endpoint) => endpoint,
             Err(refusal) => return self.give_up(cx, program, refusal.into()),
         };
@@ -237,8 +250,8 @@
         if !account.can_reserve(reserve_tokens, request.limits.budget_tokens) {
             return self.give_up(cx, program, RefusalReason::BudgetExhausted);
         }
-        let attempt = self.next_attempt();
-        let Some(active) = self.active.get_mut(program) else {
+        let attempt = self.next_attempt_id();
+        let Some(active) = self.active_turns.get_mut(program) else {
             return;
         };
         active.attempt = attempt;
@@ -248,19 +261,24 @@
         self.log.outbox.push(intent_record(program, active));
     }
 
-    /// The connection broke before the last frame: what became of the attempt is only known
-    /// where it ran.
-    pub(super) fn lost(&mut self, cx: &mut Context<'_>, attempt: AttemptId) {
-        let Some(program) = self.program_running(attempt) else {
+    /// The connection broke before the last frame. Only the endpoint process knows what became of
+    /// the attempt, so it is queried.
+    pub(super) fn handle_connection_lost(&mut self, cx: &mut Context<'_>, attempt: AttemptId) {
+        let Some(program) = self.program_of_attempt(attempt) else {
             return;
         };
-        self.ask(cx, &program, 0);
+        self.query_attempt(cx, &program, 0);
     }
 
-    pub(super) fn ask(&mut self, cx: &mut Context<'_>, program: &ProgramId, unanswered: u32) {
+    pub(super) fn query_attempt(
+        &mut self,
+        cx: &mut Context<'_>,
+        program: &ProgramId,
+        unanswered: u32,
+    ) {
         let epoch = self.ownership.epoch().unwrap_or_default();
-        let next_query_at = cx.now.plus(self.limits.ask_every_ms);
-        if let Some(active) = self.active.get_mut(program) {
+        let next_query_at = cx.now.plus(self.limits.query_interval_ms);
+        if let Some(active) = self.active_turns.get_mut(program) {
             active.phase = Phase::AwaitingReport { next_query_at, unanswered };
             cx.out.push(Action::QueryAttempt {
                 attempt: active.attempt,
@@ -270,64 +288,65 @@
         }
     }
 
-    pub(super) fn report(
+    pub(super) fn handle_report(
         &mut self,
         cx: &mut Context<'_>,
         attempt: AttemptId,
         report: AttemptReport,
     ) {
-        let Some(program) = self.program_running(attempt) else {
+        let Some(program) = self.program_of_attempt(attempt) else {
             return;
         };
         let Some(Phase::AwaitingReport { next_query_at, unanswered }) =
-            self.active.get(&program).map(|active| active.phase)
+            self.active_turns.get(&program).map(|active| active.phase)
         else {
             return;
         };
         match report {
             AttemptReport::NeverSeen => {
-                self.failed(cx, &program, FailureCause::Rejected, Some(0));
+                self.handle_failure(cx, &program, FailureCause::Rejected, Some(0));
             }
             AttemptReport::Over(AttemptFrame::Done { result }) => {
-                self.done_elsewhere(cx, &program, next_query_at, result);
+                self.handle_reported_result(cx, &program, next_query_at, result);
             }
             AttemptReport::Over(AttemptFrame::Failed { cause, spent_tokens }) => {
-                self.failed(cx, &program, cause, spent_tokens);
+                self.handle_failure(cx, &program, cause, spent_tokens);
             }
             AttemptReport::Running | AttemptReport::Over(AttemptFrame::Delta { .. }) => {
-                self.set_asking(&program, next_query_at, 0);
+                self.set_awaiting_report(&program, next_query_at, 0);
             }
-            AttemptReport::NoAnswer if unanswered + 1 < self.limits.max_unanswered => {
-                self.set_asking(&program, next_query_at, unanswered + 1);
+            AttemptReport::NoAnswer if unanswered + 1 < self.limits.max_unanswered_queries => {
+                self.set_awaiting_report(&program, next_query_at, unanswered + 1);
             }
             AttemptReport::NoAnswer | AttemptReport::Forgotten => {
-                self.failed(cx, &program, FailureCause::Interrupted, None);
+                self.handle_failure(cx, &program, FailureCause::Interrupted, None);
             }
         }
     }
 
-    fn set_asking(&mut self, program: &ProgramId, next_query_at: TimeMs, unanswered: u32) {
-        if let Some(active) = self.active.get_mut(program) {
+    fn set_awaiting_report(&mut self, program: &ProgramId, next_query_at: TimeMs, unanswered: u32) {
+        if let Some(active) = self.active_turns.get_mut(program) {
             active.phase = Phase::AwaitingReport { next_query_at, unanswered };
         }
     }
 
-    /// Takes the result of an attempt whose stream broke, or that an earlier owner dispatched.
-    fn done_elsewhere(
+    /// Handles the result of an attempt whose stream broke or that an earlier owner dispatched.
+    fn handle_reported_result(
         &mut self,
         cx: &mut Context<'_>,
         program: &ProgramId,
         next_query_at: TimeMs,
         result: TurnResult,
     ) {
-        let nobody_asked = self.active.get(program).is_some_and(|active| active.request.is_none());
-        if nobody_asked && matches!(result, TurnResult::Answered { .. }) {
-            // The call's messages come only with the caller's repeat, and a history without
-            // them would be wrong. Until then the process beside the endpoint keeps the result.
-            self.set_asking(program, next_query_at, 0);
+        let no_request =
+            self.active_turns.get(program).is_some_and(|active| active.request.is_none());
+        if no_request && matches!(result, TurnResult::Answered { .. }) {
+            // The call's messages arrive only when the caller repeats it, and a history without
+            // them would be wrong. Until then the endpoint process keeps the result.
+            self.set_awaiting_report(program, next_query_at, 0);
             return;
         }
-        self.done(cx, program, result);
+        self.handle_result(cx, program, result);
     }
 }
 
@@ -338,11 +357,11 @@
 ) -> AttemptWork {
     match &request.work {
         Work::Model { model, messages, max_tokens, parameters } => {
-            let mut all = state.map_or_else(Vec::new, ProgramState::history);
-            all.extend(messages.iter().cloned());
+            let mut conversation = state.map_or_else(Vec::new, ProgramState::history);
+            conversation.extend(messages.iter().cloned());
             AttemptWork::Model {
                 model: model.clone(),
-                messages: all,
+                messages: conversation,
                 resume_text: active.text.as_str().into(),
                 max_tokens: max_tokens.saturating_sub(active.generated_tokens as u32).max(1),
                 parameters: parameters.clone(),
--- a/src/programs/owner/messages.rs
+++ b/src/programs/owner/messages.rs
@@ -3,144 +3,144 @@
     CallId, Message, Record, Refusal, Reply, StoredRecord, TurnRequest, TurnResult,
 };
 
-/// What an owner is told.
+/// An input of [`ShardOwner::handle`](super::ShardOwner::handle).
 #[value]
 pub enum Event {
-    /// Take the shard.
+    /// Claim the shard.
     Claim,
-    /// Give it up once nothing is under way.
+    /// Release the shard once no turn is in flight.
     Release,
-    /// Make sure that the shard is still ours.
+    /// Read the log to confirm that no other entry has claimed the shard.
     ConfirmOwnership,
-    /// A caller wants a turn run.
+    /// A caller requested a turn.
     Request {
         /// The caller.
         call: CallId,
-        /// The turn.
+        /// The requested turn.
         request: TurnRequest,
     },
-    /// A caller ends a program.
+    /// A caller asked to end a program.
     End {
         /// The caller.
         call: CallId,
         /// The program.
         program: ProgramId,
     },
-    /// A caller went away. Its turn goes on: a resend gets the result.
+    /// A caller disconnected. Its turn continues, so that a resend gets the result.
     CallerGone {
         /// The caller.
         call: CallId,
     },
-    /// The append that was asked for is over.
+    /// The append in flight completed or failed.
     Appended(Result<AppendedAt, LogCallError>),
-    /// The read that was asked for is over.
+    /// The read in flight completed or failed.
     Read(Result<ReadPage, LogCallError>),
-    /// An attempt made progress.
+    /// An attempt sent a frame.
     Frame {
         /// The attempt.
         attempt: AttemptId,
-        /// The progress.
+        /// The frame.
         frame: AttemptFrame,
     },
-    /// The connection to an attempt broke before its last frame.
+    /// The connection that streams an attempt's frames broke before the last one.
     ConnectionLost {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The answer to a question about an attempt.
+    /// The answer to [`Action::QueryAttempt`].
     Report {
         /// The attempt.
         attempt: AttemptId,
-        /// The answer.
+        /// What the endpoint process knows of it.
         report: AttemptReport,
     },
-    /// The time that was asked for with [`Action::Wake`] has come.
+    /// The time requested with [`Action::Wake`] has elapsed.
     Wake,
-    /// Time has passed.
+    /// Periodic timer: checks deadlines, retries, backoffs and retention.
     Tick,
 }
 
-/// Where the log put a batch.
+/// The log's acknowledgement of an appended batch.
 #[value]
 #[derive(Copy)]
 pub struct AppendedAt {
     /// Offset of the batch's first record.
     pub first: Offset,
-    /// When the log took it.
+    /// When the log stored the batch, by the log's clock.
     pub time_ms: UnixMs,
 }
 
-/// Why the log gave no answer.
+/// Why an append or a read failed.
 #[value]
 #[derive(Copy)]
 pub enum LogCallError {
-    /// It answered that it does not take records now.
+    /// The request could not be sent, or the log answered that it does not accept it now.
     Unavailable,
-    /// No answer came: the call may have taken effect, now or later.
+    /// No answer arrived: the request may have taken effect, or may still do so later.
     NoAnswer,
 }
 
 /// One page of a shard's stream.
 #[value]
 pub struct ReadPage {
-    /// The first offset that the log still holds.
+    /// The earliest offset that the log still retains.
     pub earliest: Offset,
-    /// The records, in order.
+    /// The records, in offset order.
     pub records: Vec<StoredRecord<Record>>,
     /// Whether the page reached the end of the stream.
     pub at_end: bool,
 }
 
-/// What an owner wants done.
+/// An output of [`ShardOwner::handle`](super::ShardOwner::handle), carried out by the caller.
 #[value]
 pub enum Action {
-    /// Append these records as one batch. One append is under way at a time.
+    /// Append these records as one batch. At most one append is in flight.
     Append(Vec<Record>),
-    /// Send [`Event::Wake`] after this time.
+    /// Send [`Event::Wake`] after a delay.
     Wake {
-        /// The time.
+        /// The delay.
         in_ms: u64,
     },
-    /// Read the stream from an offset; `None` reads from the earliest that the log holds.
+    /// Read the stream from an offset; `None` reads from the earliest retained record.
     Read(Option<Offset>),
-    /// Send an attempt to the process beside its endpoint.
+    /// Send an attempt to its endpoint process.
     Dispatch(Attempt),
-    /// Ask the process beside an endpoint what became of an attempt.
+    /// Query the endpoint process for the state of an attempt.
     QueryAttempt {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it went.
+        /// The endpoint process that it was dispatched to.
         endpoint: EndpointRef,
-        /// The epoch of the one who asks: fences the owners before it.
+        /// The owner's epoch: the endpoint process rejects earlier owners from now on.
         epoch: Epoch,
     },
-    /// Stop an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// Where it went.
+        /// The endpoint process that it was dispatched to.
         endpoint: EndpointRef,
     },
-    /// Free what engines hold for a program that has ended.
+    /// Free the engine caches held for a program that has ended.
     FreeCache {
         /// The program.
         program: ProgramId,
     },
-    /// Tell a caller.
+    /// Send a reply to a caller.
     Reply {
         /// The caller.
         call: CallId,
-        /// What.
+        /// The reply.
         reply: Reply,
     },
 }
 
-/// One try at a turn, as the process beside the endpoint gets it.
+/// One attempt at a turn, as sent to the endpoint process.
 #[wire]
 pub struct Attempt {
     /// The attempt.
     pub id: AttemptId,
-    /// The run of the process that alone may start it.
+    /// The process instance it is meant for; any other rejects it.
     pub target: EndpointRef,
     /// The program.
     pub program: ProgramId,
@@ -150,81 +150,83 @@
     pub digest: Digest,
     /// What to run.
     pub work: AttemptWork,
-    /// Tokens that the program had used before, for the order of service.
+    /// Tokens charged to the program's account so far; the endpoint schedules by them.
     pub attained_tokens: u64,
-    /// Time left until nobody waits for it.
+    /// Time left until the last caller stops waiting.
     pub deadline_in_ms: u64,
-    /// Whether it must run with nothing beside it: it is suspected of crashing engines.
+    /// Whether it must run with no other call on the engine, because it is suspected of crashing
+    /// engines.
     pub alone: bool,
 }
 
-/// The work of an attempt, with all that the engine needs.
+/// The work of an attempt, with everything the engine needs to run it.
 #[wire]
 pub enum AttemptWork {
     /// A completion.
     Model {
         /// The model.
         model: ModelName,
-        /// The whole conversation.
+        /// The whole conversation, including earlier turns.
         messages: Vec<Message>,
-        /// Text of the answer that earlier attempts gave: the engine goes on from its end.
+        /// Text already generated by earlier attempts; the engine continues from its end.
         resume_text: Arc<str>,
-        /// The most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
-        /// Further parameters, passed through unread.
+        /// Further parameters, passed through unchanged.
         parameters: serde_json::Map<String, serde_json::Value>,
     },
     /// A call of a service.
     Service {
         /// The service.
         service: ModelName,
-        /// The action.
+        /// The action at that service.
         action: Arc<str>,
-        /// The body.
+        /// The request body.
         body: Arc<str>,
-        /// Whether it may be sent again.
+        /// Whether the call may be repeated after an unknown outcome.
         idempotent: bool,
     },
 }
 
-/// Progress of an attempt.
+/// One message of an attempt's response stream. `Done` and `Failed` are final.
 #[wire]
 pub enum AttemptFrame {
-    /// More text.
+    /// More generated text.
     Delta {
         /// The text.
         text: Arc<str>,
     },
-    /// It is done. The text is that of this attempt alone.
+    /// The attempt completed. The text is that of this attempt only.
     Done {
         /// The result.
         result: TurnResult,
     },
-    /// It failed, and what is known of it.
+    /// The attempt failed.
     Failed {
-        /// Why.
+        /// Why it failed.
         cause: FailureCause,
-        /// Tokens generated, if known.
+        /// Number of tokens generated, if known.
         spent_tokens: Option<u64>,
     },
 }
 
-/// Why an attempt failed. For each cause it is certain whether the call ran.
+/// Why an attempt failed. [`FailureCause::certainly_not_run`] tells whether the call had no effect.
 #[wire]
 #[derive(Copy)]
 pub enum FailureCause {
-    /// Rejected before it started: fenced, for another instance, draining or no room.
+    /// Rejected before it started: the owner's epoch is fenced, it is meant for another process
+    /// instance, the endpoint is draining, or its queue is full.
     Rejected,
-    /// The deadline passed in the queue.
+    /// The deadline passed while it was queued.
     Expired,
-    /// The engine crashed under it, alone or beside others.
+    /// The engine crashed while the attempt ran, alone or together with others.
     Crashed {
-        /// The engine's run that ended.
+        /// The engine run that crashed.
         run: u64,
     },
-    /// The engine broke the stream or did not end it in time: it may have run.
+    /// The engine broke the stream or did not finish it in time; the call may have run.
     Interrupted,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
 }
 
@@ -235,125 +237,127 @@
     }
 }
 
-/// What the process beside an endpoint knows of an attempt.
+/// What an endpoint process knows of an attempt.
 #[wire]
 pub enum AttemptReport {
-    /// It never saw it, and will reject it from now on.
+    /// It never received the attempt, and rejects it from now on.
     NeverSeen,
-    /// It is queued or running.
+    /// The attempt is queued or running.
     Running,
-    /// It ended like this.
+    /// The attempt ended with this frame.
     Over(AttemptFrame),
-    /// It saw it and has forgotten the end, or is another instance.
+    /// The process received the attempt but no longer keeps its result, or it is a different
+    /// process instance.
     Forgotten,
-    /// Nobody answered.
+    /// The endpoint process did not answer.
     NoAnswer,
 }
 
-/// What an owner asks of its surroundings while it decides.
+/// What an owner needs from its entry while it handles an event.
 pub trait OwnerEnvironment {
-    /// Picks an endpoint for an attempt.
+    /// Chooses an endpoint for an attempt.
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal>;
 
-    /// What is known of a call that may crash engines.
+    /// Whether a call is suspected of crashing engines.
     fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus;
 
-    /// A call crashed the engine that ran it. From now on `standing` counts it.
+    /// Records that the engine running a call crashed. The call's status reflects it at once.
     fn record_crash(&mut self, workspace: &WorkspaceId, digest: &Digest, crash: Crash);
 
-    /// A suspected call ran alone and ended well: it is no suspect any more.
+    /// Records that a suspected call ran alone and succeeded: it is no longer a suspect.
     fn clear_suspect(&mut self, workspace: &WorkspaceId, digest: &Digest);
 
-    /// Counts an attempt that succeeded.
+    /// Counts a successful attempt, which adds to the workspace's retry budget.
     fn record_success(&mut self, workspace: &WorkspaceId);
 
-    /// Takes a retry from the workspace's budget, if there is one left.
+    /// Takes one retry from the workspace's retry budget; returns whether one was left.
     fn try_acquire_retry(&mut self, workspace: &WorkspaceId) -> bool;
 
-    /// Reserves the next append of this entry's part of the log's rate; returns how long to wait
-    /// for it.
+    /// Reserves the next append within this entry's share of the log's append rate; returns how
+    /// many milliseconds to wait before sending it.
     fn reserve_append(&mut self) -> u64;
 
-    /// A random number, for back-off.
+    /// A random number, for jitter in retry delays.
     fn random(&mut self) -> u64;
 }
 
-/// What routing needs to know of an attempt.
+/// What the router needs to know to choose an endpoint for an attempt.
 #[value]
 pub struct PlaceRequest<'a> {
     /// The program.
     pub program: &'a ProgramId,
     /// The model or service.
     pub target: &'a ModelName,
-    /// Digest of the call: the same calls of several programs are kept together.
+    /// Digest of the call. Suspected calls are placed by it, so that the same call of several
+    /// programs goes to one endpoint.
     pub digest: &'a Digest,
-    /// The workspace's part of what there is, against the others'.
+    /// The workspace's share of the capacity relative to other workspaces.
     pub weight: u32,
-    /// Whether the program starts with it.
+    /// Whether it is the program's first turn.
     pub is_first: bool,
     /// Whether it is suspected of crashing engines.
     pub is_suspect: bool,
-    /// The endpoint to avoid: the last attempt failed there.
+    /// The VM to avoid, because the last attempt failed there.
     pub avoid: Option<&'a VmName>,
 }
 
-/// Why no endpoint was picked.
+/// Why no endpoint was chosen.
 #[value]
 #[derive(Copy)]
 pub enum PlaceRefusal {
     /// No live endpoint serves the model or service.
     NoEndpoint,
-    /// Those that do have more than they can run in time.
+    /// The endpoints that serve it have more work queued than they can run in time.
     Overloaded,
 }
 
-/// What is known of a call that may crash engines.
+/// Whether a call is suspected of crashing engines.
 #[value]
 #[derive(Copy)]
 pub enum CrashStatus {
-    /// Nothing.
+    /// No crash is known, or the call was cleared since.
     Clear,
-    /// It was running when an engine crashed: it runs alone from now on.
+    /// It was running when an engine crashed: from now on it runs alone.
     Suspect,
-    /// It crashed one while it ran alone: it is not run again.
+    /// An engine crashed while the call ran alone: it is not run again.
     Poison,
 }
 
-/// Who owned a shard before.
+/// How the shard's previous ownership ended.
 #[value]
 #[derive(Copy)]
 pub enum Predecessor {
-    /// Nobody, ever.
+    /// The shard was never owned before.
     None,
-    /// An owner that gave it up.
+    /// The previous owner released it.
     Released,
-    /// An owner that may not know yet that it has been replaced.
+    /// The previous owner may not know yet that it has been replaced.
     Unknown,
 }
 
-/// Bounds of an owner.
+/// Limits and intervals of a shard owner.
 #[value]
 #[derive(Copy)]
 pub struct OwnerLimits {
-    /// Attempts for one turn.
+    /// Maximum number of attempts for one turn.
     pub max_attempts: u32,
-    /// First back-off between attempts; doubles each time.
+    /// Backoff after the first failed attempt; it doubles with each further attempt.
     pub backoff_ms: u64,
-    /// Time between two questions about one attempt.
-    pub ask_every_ms: u64,
-    /// Unanswered questions after which an attempt's outcome counts as unknown.
-    pub max_unanswered: u32,
-    /// Pause before the log is tried again.
+    /// Interval between two queries about one attempt.
+    pub query_interval_ms: u64,
+    /// Unanswered queries in a row after which an attempt's outcome counts as unknown.
+    pub max_unanswered_queries: u32,
+    /// Delay before the log is tried again after a failure.
     pub log_retry_ms: u64,
-    /// Age at which records are replaced by a snapshot: well below the log's retention.
+    /// Age at which a program's records are replaced by a snapshot; well below the log's retention.
     pub snapshot_age_ms: u64,
-    /// Snapshots begun in one tick.
+    /// Maximum number of snapshots written in one tick.
     pub snapshots_per_tick: usize,
     /// Idle time after which a program counts as abandoned and is ended.
     pub program_idle_ms: u64,
-    /// Time for which an ended program's name stays taken.
+    /// How long the id of an ended program stays reserved.
     pub tombstone_ms: u64,
-    /// Whether new calls wait for a log that fails.
+    /// Whether new calls wait while the log fails, rather than being refused.
     pub waits_for_log: bool,
 }
 
@@ -363,8 +367,8 @@
         OwnerLimits {
             max_attempts: 3,
             backoff_ms: 50,
-            ask_every_ms: 200,
-            max_unanswered: 5,
+            query_interval_ms: 200,
+            max_unanswered_queries: 5,
             log_retry_ms: 250,
             snapshot_age_ms: 6 * HOUR_MS,
             snapshots_per_tick: 8,
@@ -375,7 +379,8 @@
     }
 }
 
-/// A refusal that is given only once the log has confirmed that the shard is still ours.
+/// A refusal that is held back until a read of the log confirms that this entry still owns the
+/// shard: another owner could have recorded turns that make the refusal wrong.
 #[value]
 #[derive(Copy)]
 pub(super) struct UnconfirmedRefusal {
--- a/src/programs/owner/mod.rs
+++ b/src/programs/owner/mod.rs
@@ -1,10 +1,11 @@
-//! The owner of one shard: orders, records and dispatches the turns of its programs.
+//! The owner of one shard: orders the turns of its programs, records them in the shard's stream
+//! and dispatches them to endpoints.
 
 mod attempts;
 mod log;
 mod messages;
 mod requests;
-mod upkeep;
+mod tick;
 
 use std::collections::{HashMap, VecDeque};
 
@@ -23,7 +24,8 @@
 };
 use crate::programs::{RefusalReason, TurnRequest};
 
-/// The state machine of one shard's owner. It does no I/O: see [`ShardOwner::handle`].
+/// The state machine of one shard's owner. It does no I/O: [`ShardOwner::handle`] returns the
+/// actions to carry out.
 pub struct ShardOwner {
     shard: ShardId,
     entry: VmName,
@@ -32,42 +34,46 @@
     limits: OwnerLimits,
     ownership: ShardOwnership,
     predecessor: Predecessor,
-    confirmed: Option<TimeMs>,
+    confirmed_at: Option<TimeMs>,
     shard_state: ShardState,
-    active: HashMap<ProgramId, ActiveTurn>,
+    active_turns: HashMap<ProgramId, ActiveTurn>,
     next_sequence: u64,
     log: LogState,
-    parked: Vec<(CallId, TurnRequest)>,
-    unconfirmed: Vec<UnconfirmedRefusal>,
-    ending: Vec<(CallId, ProgramId)>,
+    pending_requests: Vec<(CallId, TurnRequest)>,
+    unconfirmed_refusals: Vec<UnconfirmedRefusal>,
+    pending_ends: Vec<(CallId, ProgramId)>,
 }
 
-/// What is under way between the owner and the log.
+/// The owner's appends and reads of the log: those in flight and those still to be sent.
 #[derive(Default)]
 struct LogState {
-    /// Records to append next.
+    /// Records for the next append.
     outbox: Vec<Record>,
-    /// Records of the append under way, until they were read or applied.
+    /// Records that were sent to the log and are not yet applied. They stay here after a failed
+    /// append, because it may still have taken effect.
     in_flight: VecDeque<Record>,
     appending: bool,
     reading: bool,
-    /// A read was asked for while another was under way.
+    /// Another read was requested while one was in flight.
     read_again: bool,
-    /// When the read or the append under way was asked for.
-    read_asked: TimeMs,
-    append_asked: TimeMs,
-    /// Pages of the first read, until its end.
+    /// When the newest read was sent.
+    read_sent_at: TimeMs,
+    /// When the newest append was sent.
+    append_sent_at: TimeMs,
+    /// Records read during recovery, collected until the end of the stream is reached.
     recovered: Vec<StoredRecord<Record>>,
-    /// When the reserved append may be sent.
-    slot: Option<TimeMs>,
+    /// When the append may be sent that was reserved within the log's append rate.
+    append_at: Option<TimeMs>,
+    /// Whether the newest append or read failed.
     failing: bool,
+    /// When to try the log again after a failure.
     retry_at: Option<TimeMs>,
 }
 
-/// What one call of [`ShardOwner::handle`] works with.
+/// The inputs and the collected actions of one call of [`ShardOwner::handle`].
 struct Context<'a> {
     now: TimeMs,
-    unix: UnixMs,
+    unix_now: UnixMs,
     env: &'a mut dyn OwnerEnvironment,
     out: Vec<Action>,
 }
@@ -83,7 +89,8 @@
 }
 
 impl ShardOwner {
-    /// An owner that has not claimed its shard. `nonce` tells its claim from any other.
+    /// An owner that has not claimed its shard yet. `nonce` distinguishes its claim from others of
+    /// the same process instance.
     pub fn new(
         shard: ShardId,
         entry: VmName,
@@ -99,73 +106,74 @@
             limits,
             ownership: ShardOwnership::new(),
             predecessor: Predecessor::Unknown,
-            confirmed: None,
+            confirmed_at: None,
             shard_state: ShardState::new(),
-            active: HashMap::new(),
+            active_turns: HashMap::new(),
             next_sequence: 1,
             log: LogState::default(),
-            parked: Vec::new(),
-            unconfirmed: Vec::new(),
-            ending: Vec::new(),
+            pending_requests: Vec::new(),
+            unconfirmed_refusals: Vec::new(),
+            pending_ends: Vec::new(),
         }
     }
 
-    /// The shard.
+    /// The owned shard.
     pub fn shard(&self) -> ShardId {
         self.shard
     }
 
-    /// The tenure of the shard.
+    /// The state of this entry's ownership of the shard.
     pub fn ownership(&self) -> &ShardOwnership {
         &self.ownership
     }
 
-    /// The state that the log gives.
+    /// The shard's state, replayed from its stream.
     pub fn shard_state(&self) -> &ShardState {
         &self.shard_state
     }
 
-    /// Who owned the shard before.
+    /// How the shard's previous ownership ended.
     pub fn predecessor(&self) -> Predecessor {
         self.predecessor
     }
 
-    /// The last moment at which the log was asked and then showed that the shard is still ours.
+    /// When the newest request was sent to the log whose answer confirmed that this entry still
+    /// owns the shard.
     pub fn confirmed_at(&self) -> Option<TimeMs> {
-        self.confirmed
+        self.confirmed_at
     }
 
-    /// Turns under way.
+    /// The turns in progress.
     pub fn active_turns(&self) -> impl Iterator<Item = (&ProgramId, &ActiveTurn)> {
-        self.active.iter()
+        self.active_turns.iter()
     }
 
-    /// Whether the log did not take or give records when last tried.
+    /// Whether the newest append or read failed.
     pub fn log_failing(&self) -> bool {
         self.log.failing
     }
 
-    /// Takes an event; returns what is to be done.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn handle(
         &mut self,
         now: TimeMs,
-        unix: UnixMs,
+        unix_now: UnixMs,
         event: Event,
         env: &mut dyn OwnerEnvironment,
     ) -> Vec<Action> {
-        let mut cx = Context { now, unix, env, out: Vec::new() };
+        let mut cx = Context { now, unix_now, env, out: Vec::new() };
         match event {
             Event::Claim => self.claim(&mut cx),
-            Event::Release => self.hand_over(),
+            Event::Release => self.start_release(),
             Event::ConfirmOwnership => self.start_read(&mut cx),
-            Event::Request { call, request } => self.request(&mut cx, call, request),
-            Event::End { call, program } => self.end(&mut cx, call, program),
-            Event::CallerGone { call } => self.caller_gone(call),
-            Event::Appended(result) => self.appended(&mut cx, result),
-            Event::Read(result) => self.read(&mut cx, result),
-            Event::Frame { attempt, frame } => self.frame(&mut cx, attempt, frame),
-            Event::ConnectionLost { attempt } => self.lost(&mut cx, attempt),
-            Event::Report { attempt, report } => self.report(&mut cx, attempt, report),
+            Event::Request { call, request } => self.handle_request(&mut cx, call, request),
+            Event::End { call, program } => self.handle_end(&mut cx, call, program),
+            Event::CallerGone { call } => self.handle_caller_gone(call),
+            Event::Appended(result) => self.handle_appended(&mut cx, result),
+            Event::Read(result) => self.handle_read(&mut cx, result),
+            Event::Frame { attempt, frame } => self.handle_frame(&mut cx, attempt, frame),
+            Event::ConnectionLost { attempt } => self.handle_connection_lost(&mut cx, attempt),
+            Event::Report { attempt, report } => self.handle_report(&mut cx, attempt, report),
             Event::Wake => {}
             Event::Tick => self.tick(&mut cx),
         }
@@ -185,36 +193,36 @@
         cx.out.push(Action::Append(vec![claim]));
     }
 
-    fn hand_over(&mut self) {
+    fn start_release(&mut self) {
         self.ownership.handle(OwnershipEvent::Release);
         self.release_if_idle();
     }
 
-    /// Gives the shard up for good: everything that still waits is told so.
-    fn lose(&mut self, cx: &mut Context<'_>) {
+    /// Ends the ownership for good and refuses every waiting call.
+    fn lose_ownership(&mut self, cx: &mut Context<'_>) {
         self.ownership.handle(OwnershipEvent::OtherClaimRead);
         self.log.in_flight.clear();
         self.log.outbox.clear();
-        for (call, _) in std::mem::take(&mut self.parked) {
+        for (call, _) in std::mem::take(&mut self.pending_requests) {
             cx.refuse(call, Refusal::not_run(RefusalReason::NotOwner).retry_after(0));
         }
-        for waiting in std::mem::take(&mut self.unconfirmed) {
-            cx.refuse(waiting.call, Refusal::unknown(RefusalReason::NotOwner).retry_after(0));
+        for unconfirmed in std::mem::take(&mut self.unconfirmed_refusals) {
+            cx.refuse(unconfirmed.call, Refusal::unknown(RefusalReason::NotOwner).retry_after(0));
         }
-        for (call, _) in std::mem::take(&mut self.ending) {
+        for (call, _) in std::mem::take(&mut self.pending_ends) {
             cx.refuse(call, Refusal::unknown(RefusalReason::NotOwner).retry_after(0));
         }
-        for (_, active) in std::mem::take(&mut self.active) {
-            let refusal = refusal_when_lost(&active);
+        for (_, active) in std::mem::take(&mut self.active_turns) {
+            let refusal = refusal_on_ownership_loss(&active);
             active.waiters.iter().for_each(|waiter| cx.refuse(waiter.call, refusal));
         }
     }
 }
 
-fn refusal_when_lost(active: &ActiveTurn) -> Refusal {
+fn refusal_on_ownership_loss(active: &ActiveTurn) -> Refusal {
     use crate::programs::Phase;
-    let untouched = active.phase == Phase::RecordingIntent && active.attempts == 0;
-    let refusal = match untouched {
+    let never_dispatched = active.phase == Phase::RecordingIntent && active.attempts == 0;
+    let refusal = match never_dispatched {
         true => Refusal::not_run(RefusalReason::NotOwner),
         false => Refusal::unknown(RefusalReason::NotOwner),
     };
--- a/src/programs/owner/requests.rs
+++ b/src/programs/owner/requests.rs
@@ -8,11 +8,11 @@
     RefusalReason, Reply, TurnRequest,
 };
 
-/// When to come back while another call of the program runs or its predecessor is missing.
+/// Retry delay given while another call of the program runs or an earlier turn is missing.
 const BUSY_RETRY_MS: u64 = 250;
-/// When to come back while no endpoint serves the call.
+/// Minimum retry delay given while no endpoint can take the call; up to as much again is added.
 const NO_ENDPOINT_RETRY_MS: u64 = 1_000;
-/// When to come back while the log takes no records.
+/// Retry delay given while the log accepts no records.
 const LOG_RETRY_MS: u64 = 2_000;
 
 impl From<PlaceRefusal> for RefusalReason {
@@ -24,105 +24,115 @@
     }
 }
 
-/// What to do with a call.
-enum Verdict {
+/// How to proceed with a call.
+enum Decision {
+    /// Start this turn.
     Start(TurnNo),
+    /// Wait for the same call, which is already in progress.
     Join,
+    /// Answer with the recorded result of this turn.
     Replay(TurnNo),
+    /// Refuse at once.
     Refuse(Refusal),
-    /// Refuse, once the log has confirmed that the shard is still ours.
+    /// Refuse once a read of the log has confirmed that this entry still owns the shard.
     RefuseConfirmed(Refusal),
 }
 
 impl ShardOwner {
-    pub(super) fn request(&mut self, cx: &mut Context<'_>, call: CallId, request: TurnRequest) {
+    pub(super) fn handle_request(
+        &mut self,
+        cx: &mut Context<'_>,
+        call: CallId,
+        request: TurnRequest,
+    ) {
         if self.ownership.is_starting() {
-            self.parked.push((call, request));
+            self.pending_requests.push((call, request));
             return;
         }
         if !self.ownership.is_owning() {
             cx.refuse(call, Refusal::not_run(RefusalReason::NotOwner).retry_after(0));
             return;
         }
-        match self.verdict(cx, &request) {
-            Verdict::Start(turn) => self.start(cx, call, turn, request),
-            Verdict::Join => self.join(cx, call, request),
-            Verdict::Replay(turn) => self.replay(cx, call, &request.program, turn),
-            Verdict::Refuse(refusal) => cx.refuse(call, refusal),
-            Verdict::RefuseConfirmed(refusal) => {
+        match self.decide(cx, &request) {
+            Decision::Start(turn) => self.start(cx, call, turn, request),
+            Decision::Join => self.join(cx, call, request),
+            Decision::Replay(turn) => self.replay(cx, call, &request.program, turn),
+            Decision::Refuse(refusal) => cx.refuse(call, refusal),
+            Decision::RefuseConfirmed(refusal) => {
                 let deadline = request.deadline;
-                self.unconfirmed.push(UnconfirmedRefusal { call, refusal, deadline });
+                self.unconfirmed_refusals.push(UnconfirmedRefusal { call, refusal, deadline });
                 self.start_read(cx);
             }
         }
     }
 
-    fn verdict(&self, cx: &Context<'_>, request: &TurnRequest) -> Verdict {
-        use RefusalReason as Why;
+    fn decide(&self, cx: &Context<'_>, request: &TurnRequest) -> Decision {
+        use RefusalReason as Reason;
         let known = self.shard_state.program(&request.program);
         if let Some(state) = known
-            && let Some(verdict) = recorded_verdict(state, request)
+            && let Some(decision) = decision_from_state(state, request)
         {
-            return verdict;
+            return decision;
         }
-        if let Some(active) = self.active.get(&request.program) {
-            return active_verdict(active, request);
+        if let Some(active) = self.active_turns.get(&request.program) {
+            return decision_from_active(active, request);
         }
         let next = known.map_or(TurnNo(1), ProgramState::next_turn);
         if request.turn.is_some_and(|turn| turn != next) {
-            let refusal = Refusal::not_run(Why::TurnTooEarly { expected: next });
-            return Verdict::RefuseConfirmed(refusal.retry_after(BUSY_RETRY_MS));
+            let refusal = Refusal::not_run(Reason::TurnTooEarly { expected: next });
+            return Decision::RefuseConfirmed(refusal.retry_after(BUSY_RETRY_MS));
         }
         if cx.env.crash_status(&request.program.workspace, &request.digest) == CrashStatus::Poison {
-            let reason = Why::CrashesEndpoints;
-            return Verdict::Refuse(Refusal {
+            let reason = Reason::CrashesEndpoints;
+            return Decision::Refuse(Refusal {
                 ran: ExecutionStatus::Ran,
                 reason,
                 retry_after_ms: None,
             });
         }
         if next.0 > request.limits.max_turns {
-            return Verdict::RefuseConfirmed(Refusal::not_run(Why::TurnsExhausted));
+            return Decision::RefuseConfirmed(Refusal::not_run(Reason::TurnsExhausted));
         }
         let worst_case = request.work.worst_case_tokens();
         let account = self.shard_state.account(&request.program);
         if !account.can_reserve(
-            worst_case + self.unrecorded_reserve(&request.program),
+            worst_case + self.unrecorded_reserve_tokens(&request.program),
             request.limits.budget_tokens,
         ) {
-            return Verdict::RefuseConfirmed(Refusal::not_run(Why::BudgetExhausted));
+            return Decision::RefuseConfirmed(Refusal::not_run(Reason::BudgetExhausted));
         }
         if request.deadline <= cx.now {
-            return Verdict::Refuse(Refusal::not_run(Why::DeadlinePassed));
+            return Decision::Refuse(Refusal::not_run(Reason::DeadlinePassed));
         }
         if self.log.failing && !self.limits.waits_for_log {
-            return Verdict::Refuse(
-                Refusal::not_run(Why::LogUnavailable).retry_after(LOG_RETRY_MS),
+            return Decision::Refuse(
+                Refusal::not_run(Reason::LogUnavailable).retry_after(LOG_RETRY_MS),
             );
         }
-        Verdict::Start(next)
+        Decision::Start(next)
     }
 
-    /// Reservations of the same account whose intents the log has not taken yet.
-    fn unrecorded_reserve(&self, program: &ProgramId) -> u64 {
-        let same =
+    /// Tokens reserved for the same account by turns whose intents are not recorded yet.
+    fn unrecorded_reserve_tokens(&self, program: &ProgramId) -> u64 {
+        let same_account =
             |id: &ProgramId| id.workspace == program.workspace && id.root() == program.root();
         let unrecorded = |active: &ActiveTurn| active.phase == Phase::RecordingIntent;
-        let reserves = self.active.iter().filter(|(id, active)| same(id) && unrecorded(active));
+        let reserves =
+            self.active_turns.iter().filter(|(id, active)| same_account(id) && unrecorded(active));
         reserves.map(|(_, active)| active.reserve_tokens).sum()
     }
 
     fn start(&mut self, cx: &mut Context<'_>, call: CallId, turn: TurnNo, request: TurnRequest) {
-        let endpoint = match self.place(cx, &request, None) {
+        let endpoint = match self.choose_endpoint(cx, &request, None) {
             Ok(endpoint) => endpoint,
             Err(refusal) => {
-                // Spread, so that those who are turned away together don't come back together.
+                // Random, so that callers refused at the same time do not retry at the same time.
                 let retry_ms = NO_ENDPOINT_RETRY_MS + cx.env.random() % NO_ENDPOINT_RETRY_MS;
                 cx.refuse(call, Refusal::not_run(refusal.into()).retry_after(retry_ms));
                 return;
             }
         };
-        let attempt = self.next_attempt();
+        let attempt = self.next_attempt_id();
         let active = ActiveTurn {
             turn,
             digest: request.digest,
@@ -140,11 +150,11 @@
             request: Some(request.clone()),
         };
         self.log.outbox.push(intent_record(&request.program, &active));
-        self.active.insert(request.program, active);
+        self.active_turns.insert(request.program, active);
     }
 
     fn join(&mut self, cx: &mut Context<'_>, call: CallId, request: TurnRequest) {
-        let Some(active) = self.active.get_mut(&request.program) else {
+        let Some(active) = self.active_turns.get_mut(&request.program) else {
             return;
         };
         active.waiters.push(Waiter { call, deadline: request.deadline });
@@ -156,45 +166,45 @@
     }
 
     fn replay(&mut self, cx: &mut Context<'_>, call: CallId, program: &ProgramId, turn: TurnNo) {
-        let entry = self.shard_state.program(program).and_then(|state| state.turn(turn));
-        if let Some(entry) = entry {
-            let result = entry.result.clone();
+        let finished = self.shard_state.program(program).and_then(|state| state.turn(turn));
+        if let Some(finished) = finished {
+            let result = finished.result.clone();
             cx.reply(call, Reply::Answer { turn, result, replayed: true });
         }
     }
 
-    pub(super) fn end(&mut self, cx: &mut Context<'_>, call: CallId, program: ProgramId) {
+    pub(super) fn handle_end(&mut self, cx: &mut Context<'_>, call: CallId, program: ProgramId) {
         if !self.ownership.is_owning() {
             cx.refuse(call, Refusal::not_run(RefusalReason::NotOwner).retry_after(0));
             return;
         }
-        self.ending.push((call, program.clone()));
-        self.push_end(program);
+        self.pending_ends.push((call, program.clone()));
+        self.queue_end_record(program);
     }
 
-    pub(super) fn push_end(&mut self, program: ProgramId) {
+    pub(super) fn queue_end_record(&mut self, program: ProgramId) {
         if let Some(epoch) = self.ownership.epoch() {
             self.log.outbox.push(Record::Ended { program, epoch });
         }
     }
 
-    pub(super) fn caller_gone(&mut self, call: CallId) {
-        for active in self.active.values_mut() {
+    pub(super) fn handle_caller_gone(&mut self, call: CallId) {
+        for active in self.active_turns.values_mut() {
             active.waiters.retain(|waiter| waiter.call != call);
         }
-        self.unconfirmed.retain(|waiting| waiting.call != call);
-        self.parked.retain(|(parked, _)| *parked != call);
-        self.ending.retain(|(ending, _)| *ending != call);
+        self.unconfirmed_refusals.retain(|unconfirmed| unconfirmed.call != call);
+        self.pending_requests.retain(|(waiting_call, _)| *waiting_call != call);
+        self.pending_ends.retain(|(waiting_call, _)| *waiting_call != call);
     }
 
-    pub(super) fn next_attempt(&mut self) -> AttemptId {
+    pub(super) fn next_attempt_id(&mut self) -> AttemptId {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let epoch = self.ownership.epoch().unwrap_or_default();
         AttemptId { shard: self.shard, epoch, sequence }
     }
 
-    pub(super) fn place(
+    pub(super) fn choose_endpoint(
         &self,
         cx: &mut Context<'_>,
         request: &TurnRequest,
@@ -212,8 +222,8 @@
         })
     }
 
-    pub(super) fn free(&mut self, cx: &mut Context<'_>, program: &ProgramId) {
-        if let Some(active) = self.active.remove(program) {
+    pub(super) fn end_turn_and_free_cache(&mut self, cx: &mut Context<'_>, program: &ProgramId) {
+        if let Some(active) = self.active_turns.remove(program) {
             let refusal = Refusal::unknown(RefusalReason::ProgramEnded);
             active.waiters.iter().for_each(|waiter| cx.refuse(waiter.call, refusal));
             cx.out.push(Action::Cancel { attempt: active.attempt, endpoint: active.endpoint });
@@ -222,7 +232,7 @@
     }
 }
 
-/// The record that announces an active turn's newest attempt.
+/// The record that must be in the log before an active turn's newest attempt is dispatched.
 pub(super) fn intent_record(program: &ProgramId, active: &ActiveTurn) -> Record {
     Record::Intent(IntentRecord {
         program: program.clone(),
@@ -236,25 +246,25 @@
     })
 }
 
-/// The verdict that the log alone gives, if it gives one.
-fn recorded_verdict(state: &ProgramState, request: &TurnRequest) -> Option<Verdict> {
-    use RefusalReason as Why;
+/// The decision for a call that the program's recorded state already decides.
+fn decision_from_state(state: &ProgramState, request: &TurnRequest) -> Option<Decision> {
+    use RefusalReason as Reason;
     if state.ended.is_some() {
-        return Some(Verdict::Refuse(refusal_after_end(state, request)));
+        return Some(Decision::Refuse(refusal_after_end(state, request)));
     }
     if state.has_history_gap {
-        return Some(Verdict::Refuse(Refusal::not_run(Why::HistoryGap)));
+        return Some(Decision::Refuse(Refusal::not_run(Reason::HistoryGap)));
     }
     let by_key = request.idempotency_key.as_deref().and_then(|key| state.turn_by_key(key));
     let by_number = request.turn.and_then(|turn| Some((turn, state.turn(turn)?)));
-    let (turn, entry) = by_key.or(by_number)?;
-    match entry.digest == request.digest {
-        true => Some(Verdict::Replay(turn)),
-        false => Some(Verdict::Refuse(Refusal::not_run(Why::TurnConflict))),
+    let (turn, finished) = by_key.or(by_number)?;
+    match finished.digest == request.digest {
+        true => Some(Decision::Replay(turn)),
+        false => Some(Decision::Refuse(Refusal::not_run(Reason::TurnConflict))),
     }
 }
 
-/// The turns of an ended program are gone, but not their number: a repeat of one did run.
+/// An ended program keeps only the number of its turns. A repeat of one of these did run.
 fn refusal_after_end(state: &ProgramState, request: &TurnRequest) -> Refusal {
     let reason = RefusalReason::ProgramEnded;
     let ran = match request.turn {
@@ -265,20 +275,22 @@
     Refusal { ran, reason, retry_after_ms: None }
 }
 
-fn active_verdict(active: &ActiveTurn, request: &TurnRequest) -> Verdict {
-    use RefusalReason as Why;
+fn decision_from_active(active: &ActiveTurn, request: &TurnRequest) -> Decision {
+    use RefusalReason as Reason;
     let same_digest = active.digest == request.digest;
     let same_key =
         active.idempotency_key.is_some() && active.idempotency_key == request.idempotency_key;
     match request.turn {
-        Some(turn) if turn == active.turn && same_digest => Verdict::Join,
-        Some(turn) if turn == active.turn => Verdict::Refuse(Refusal::not_run(Why::TurnConflict)),
-        None if same_key && same_digest => Verdict::Join,
-        None if same_key => Verdict::Refuse(Refusal::not_run(Why::TurnConflict)),
-        None => Verdict::Refuse(Refusal::not_run(Why::ProgramBusy).retry_after(BUSY_RETRY_MS)),
+        Some(turn) if turn == active.turn && same_digest => Decision::Join,
+        Some(turn) if turn == active.turn => {
+            Decision::Refuse(Refusal::not_run(Reason::TurnConflict))
+        }
+        None if same_key && same_digest => Decision::Join,
+        None if same_key => Decision::Refuse(Refusal::not_run(Reason::TurnConflict)),
+        None => Decision::Refuse(Refusal::not_run(Reason::ProgramBusy).retry_after(BUSY_RETRY_MS)),
         Some(_) => {
-            let refusal = Refusal::not_run(Why::TurnTooEarly { expected: active.turn });
-            Verdict::RefuseConfirmed(refusal.retry_after(BUSY_RETRY_MS))
+            let refusal = Refusal::not_run(Reason::TurnTooEarly { expected: active.turn });
+            Decision::RefuseConfirmed(refusal.retry_after(BUSY_RETRY_MS))
         }
     }
 }
--- a/src/programs/ownership.rs
+++ b/src/programs/ownership.rs
@@ -2,31 +2,31 @@
 
 use crate::prelude::*;
 
-/// What moves an entry's tenure of one shard.
+/// An event in an entry's ownership of one shard.
 #[key]
 pub enum OwnershipEvent {
-    /// The entry wants the shard.
+    /// The entry starts to claim the shard.
     Claim,
-    /// Its own claim was read from the log.
+    /// The entry's own claim was read from the log; the epoch is the claim's offset.
     ClaimRead(Epoch),
-    /// It has read up to the end of the log.
+    /// The stream has been read to its end.
     CaughtUp,
-    /// A claim of another was read.
+    /// A claim by another owner was read.
     OtherClaimRead,
-    /// It wants to give the shard up once nothing is under way.
+    /// The entry is to release the shard once no turn is in flight.
     Release,
-    /// Its own release was read.
+    /// The entry's own release was read from the log.
     ReleaseRead,
 }
 
-/// The life of one entry's ownership of one shard.
+/// The state machine behind [`ShardOwnership`].
 #[derive(Debug, Default)]
 pub struct OwnershipMachine;
 
-#[state_machine(initial = "State::idle()", state(derive(Debug, Clone, Copy, PartialEq, Eq)))]
+#[state_machine(initial = "State::unclaimed()", state(derive(Debug, Clone, Copy, PartialEq, Eq)))]
 impl OwnershipMachine {
     #[state]
-    fn idle(event: &OwnershipEvent) -> Outcome<State> {
+    fn unclaimed(event: &OwnershipEvent) -> Outcome<State> {
         match event {
             OwnershipEvent::Claim => Transition(State::claiming()),
             _ => Handled,
@@ -54,13 +54,13 @@
     fn owning(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         match event {
             OwnershipEvent::OtherClaimRead => Transition(State::lost()),
-            OwnershipEvent::Release => Transition(State::leaving(*epoch)),
+            OwnershipEvent::Release => Transition(State::releasing(*epoch)),
             _ => Handled,
         }
     }
 
     #[state]
-    fn leaving(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
+    fn releasing(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         let _ = epoch;
         match event {
             OwnershipEvent::OtherClaimRead | OwnershipEvent::ReleaseRead => {
@@ -77,33 +77,34 @@
     }
 }
 
-/// An entry's ownership of one shard, from the claim to its loss. A lost tenure stays lost: the
-/// entry starts another, with another claim.
+/// An entry's ownership of one shard, from its claim until the shard is released or claimed by
+/// another. `lost` is final: to own the shard again, the entry needs a new `ShardOwnership` with a
+/// new claim.
 pub struct ShardOwnership(statig::blocking::StateMachine<OwnershipMachine>);
 
 impl ShardOwnership {
-    /// A tenure that has not been claimed.
+    /// Ownership of a shard that has not been claimed yet.
     pub fn new() -> ShardOwnership {
         ShardOwnership(OwnershipMachine.state_machine())
     }
 
-    /// Moves it.
+    /// Applies an event. One that does not fit the current state is ignored.
     pub fn handle(&mut self, event: OwnershipEvent) {
         self.0.handle(&event);
     }
 
-    /// Whether nothing was claimed yet.
+    /// Whether no claim was made yet.
     pub fn is_unclaimed(&self) -> bool {
-        matches!(self.0.state(), State::Idle {})
+        matches!(self.0.state(), State::Unclaimed {})
     }
 
-    /// The epoch, while the log is known to hold the claim and no newer one.
+    /// The epoch, once the entry's claim was read and as long as no newer claim was.
     pub fn epoch(&self) -> Option<Epoch> {
         match self.0.state() {
-            State::Recovering { epoch } | State::Owning { epoch } | State::Leaving { epoch } => {
+            State::Recovering { epoch } | State::Owning { epoch } | State::Releasing { epoch } => {
                 Some(*epoch)
             }
-            State::Idle {} | State::Claiming {} | State::Lost {} => None,
+            State::Unclaimed {} | State::Claiming {} | State::Lost {} => None,
         }
     }
 
@@ -112,17 +113,17 @@
         matches!(self.0.state(), State::Owning { .. })
     }
 
-    /// Whether the claim or the read that follows it is still under way.
+    /// Whether the claim, or the replay of the stream after it, is not complete yet.
     pub fn is_starting(&self) -> bool {
         matches!(self.0.state(), State::Claiming {} | State::Recovering { .. })
     }
 
-    /// Whether it is being given up.
+    /// Whether the shard is to be released once no turn is in flight.
     pub fn is_releasing(&self) -> bool {
-        matches!(self.0.state(), State::Leaving { .. })
+        matches!(self.0.state(), State::Releasing { .. })
     }
 
-    /// Whether it is over.
+    /// Whether ownership has ended.
     pub fn is_lost(&self) -> bool {
         matches!(self.0.state(), State::Lost {})
     }
--- a/src/programs/record.rs
+++ b/src/programs/record.rs
@@ -1,12 +1,12 @@
 use crate::prelude::*;
 use crate::programs::{FinishedTurn, Message, TurnResult};
 
-/// A record as the log holds it.
+/// A record as stored in the log.
 #[wire]
 pub struct StoredRecord<T> {
-    /// Where it stands.
+    /// The record's position in its stream.
     pub offset: Offset,
-    /// When the log took it.
+    /// Time at which the log appended it.
     pub time_ms: UnixMs,
     /// The record.
     pub data: T,
@@ -15,23 +15,23 @@
 /// One record of a shard's stream.
 #[wire]
 pub enum Record {
-    /// An entry takes the shard; the record's offset is its epoch.
+    /// An entry claims the shard; the record's offset becomes the owner's epoch.
     Claim {
-        /// The entry.
+        /// The VM of the entry.
         entry: VmName,
-        /// Its run.
+        /// The process instance of the entry.
         instance: Instance,
-        /// Tells this claim from another of the same run.
+        /// Distinguishes this claim from others by the same process instance.
         nonce: u64,
     },
-    /// The owner gives the shard up.
+    /// The owner releases the shard.
     Release {
         /// The owner's epoch.
         epoch: Epoch,
     },
-    /// A turn is about to be dispatched.
+    /// An attempt at a turn is about to be dispatched.
     Intent(IntentRecord),
-    /// An attempt is over without a result; its reservation becomes a charge.
+    /// An attempt ended without a result; its reservation is replaced by a charge.
     Settled {
         /// The program.
         program: ProgramId,
@@ -42,89 +42,91 @@
         /// Tokens to charge.
         charge_tokens: u64,
     },
-    /// A turn is done.
+    /// A turn is finished.
     Outcome(OutcomeRecord),
-    /// The program is over, and its sub-agents with it.
+    /// The program has ended; if it is a root, so have its sub-agents.
     Ended {
         /// The program.
         program: ProgramId,
         /// The owner's epoch.
         epoch: Epoch,
     },
-    /// The whole state of an idle program, so that its older records may expire.
+    /// The complete state of an idle program, so that its older records may expire.
     Snapshot {
         /// The owner's epoch.
         epoch: Epoch,
-        /// The state.
+        /// The program's state.
         snapshot: ProgramSnapshot,
     },
 }
 
-/// Written before an attempt is dispatched: names where it goes and what it may cost.
+/// Written before an attempt is dispatched: its target and its token reservation.
 #[wire]
 pub struct IntentRecord {
     /// The program.
     pub program: ProgramId,
     /// The turn.
     pub turn: TurnNo,
-    /// Digest of the call.
+    /// Digest of the caller's request.
     pub digest: Digest,
-    /// The attempt; its epoch is the owner's.
+    /// The attempt; its epoch is that of the owner that writes the record.
     pub attempt: AttemptId,
-    /// The run of the process beside the endpoint that alone may start it.
+    /// The instance of the endpoint process that the attempt is for; no other may start it.
     pub endpoint: EndpointRef,
-    /// Tokens reserved of the program's budget.
+    /// Tokens reserved from the program's budget.
     pub reserve_tokens: u64,
-    /// Whether the call may be run again after an unknown outcome.
+    /// Whether the call may be run again if its outcome is unknown.
     pub idempotent: bool,
-    /// The caller's key, if it gave one.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
 }
 
-/// Written when a turn is done, before the caller is told.
+/// Written when a turn is finished, before the caller gets the result.
 #[wire]
 pub struct OutcomeRecord {
     /// The program.
     pub program: ProgramId,
-    /// The owner's epoch; the attempt's may be an earlier one.
+    /// The epoch of the owner that writes the record. The attempt may be of an earlier epoch.
     pub epoch: Epoch,
     /// The turn.
     pub turn: TurnNo,
-    /// The attempt that gave the result.
+    /// The attempt that produced the result.
     pub attempt: AttemptId,
-    /// Digest of the call.
+    /// Digest of the caller's request.
     pub digest: Digest,
-    /// The caller's key, if it gave one.
+    /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
-    /// The messages that the call added.
+    /// Messages that the call added to the conversation.
     pub messages: Vec<Message>,
-    /// The result.
+    /// The result of the turn.
     pub result: TurnResult,
     /// Tokens to charge.
     pub charge_tokens: u64,
 }
 
-/// The state of a program without an attempt under way.
+/// The state of a program that the owner has no turn in flight for.
 #[wire]
 pub struct ProgramSnapshot {
     /// The program.
     pub program: ProgramId,
-    /// Its finished turns.
+    /// Finished turns, in order; empty once the program has ended.
     pub turns: Vec<FinishedTurn>,
-    /// Number of finished turns, which outlives the turns of an ended program.
+    /// Number of finished turns; kept after the program ends.
     pub turn_count: u32,
     /// Tokens charged so far.
     pub spent_tokens: u64,
-    /// An intent that an earlier owner left open.
-    pub open: Option<IntentRecord>,
-    /// The newest attempt that was ever opened.
+    /// An intent that was never settled or finished.
+    #[serde(rename = "open")]
+    pub open_intent: Option<IntentRecord>,
+    /// The latest attempt for which an intent was recorded, in flight or not.
     pub last_attempt: Option<AttemptId>,
-    /// When it ended.
+    /// Time at which the program ended.
     pub ended: Option<UnixMs>,
 }
 
 impl Record {
-    /// The epoch under which it was written; `None` for a claim, which makes one.
+    /// The epoch of the owner that wrote the record; `None` for a claim, whose offset starts a new
+    /// epoch.
     pub fn epoch(&self) -> Option<Epoch> {
         match self {
             Record::Claim { .. } => None,
--- a/src/programs/shard_state.rs
+++ b/src/programs/shard_state.rs
@@ -5,48 +5,58 @@
     Account, IntentRecord, OutcomeRecord, ProgramSnapshot, ProgramState, Record, StoredRecord,
 };
 
-/// Whether a record counts.
+/// Whether a record was accepted.
 #[value]
 #[derive(Copy)]
 pub enum ApplyOutcome {
-    /// It does.
+    /// The record was applied.
     Accepted,
-    /// It was written under an epoch that is over, or repeats one that counted before.
+    /// The record was ignored: its epoch has been superseded, it repeats a record that was
+    /// accepted before, or it does not match the program's current state.
     Ignored,
 }
 
-/// The state of a shard: a pure function of its stream, the same for every reader.
+/// The state of a shard: a pure function of its stream, so every reader computes the same state.
 ///
-/// A record counts only under the newest claim before it. So what a paused owner appends after
-/// its successor's claim is void for every reader, whatever any clock says.
+/// A record is accepted only if its epoch is that of the latest claim before it. Records that a
+/// paused owner appends after its successor's claim are therefore ignored by every reader,
+/// independent of any clock.
 #[value]
 pub struct ShardState {
-    next: Offset,
+    next_offset: Offset,
     epoch: Epoch,
-    holder: Option<(VmName, Instance)>,
+    owner: Option<(VmName, Instance)>,
     programs: HashMap<ProgramId, ProgramState>,
     accounts: HashMap<ProgramId, Account>,
 }
 
 impl ShardState {
-    /// An empty fold that starts at the first record.
+    /// Empty state that expects the first record of the stream.
     pub fn new() -> ShardState {
         ShardState::starting_at(Offset(1), Epoch(0))
     }
 
-    /// An empty fold that starts at `next`, where `epoch` is the newest claim before it.
-    pub fn starting_at(next: Offset, epoch: Epoch) -> ShardState {
-        ShardState { next, epoch, holder: None, programs: HashMap::new(), accounts: HashMap::new() }
+    /// Empty state that expects the record at `next_offset`. `epoch` is that of the latest claim before
+    /// it.
+    pub fn starting_at(next_offset: Offset, epoch: Epoch) -> ShardState {
+        ShardState {
+            next_offset,
+            epoch,
+            owner: None,
+            programs: HashMap::new(),
+            accounts: HashMap::new(),
+        }
     }
 
-    /// Folds a stream whose first retained record is `records[0]`.
+    /// Replays a stream whose first retained record is `records[0]`, at offset `earliest`.
     ///
-    /// The claim in force there may itself have expired. An epoch is its claim's offset, so the
-    /// newest epoch below the first offset that any record names is that claim.
+    /// The claim that applies at that offset may have been removed by the log's retention. Since
+    /// an epoch is the offset of its claim, the epoch of that claim is the largest one below
+    /// `earliest` that any record names.
     pub fn from_records(earliest: Offset, records: &[StoredRecord<Record>]) -> ShardState {
         let epochs = records.iter().filter_map(|stored| stored.data.epoch());
-        let standing = epochs.filter(|epoch| epoch.0 < earliest.0).max();
-        let mut shard_state = ShardState::starting_at(earliest, standing.unwrap_or_default());
+        let epoch = epochs.filter(|epoch| epoch.0 < earliest.0).max();
+        let mut shard_state = ShardState::starting_at(earliest, epoch.unwrap_or_default());
         for stored in records {
             shard_state.apply(stored.offset, stored.time_ms, &stored.data);
         }
@@ -55,92 +65,94 @@
 
     /// The offset of the next record to apply.
     pub fn next_offset(&self) -> Offset {
-        self.next
+        self.next_offset
     }
 
-    /// The epoch in force.
+    /// The epoch of the current owner; 0 if there is none.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Who holds the shard, if its claim has been read and not been released.
-    pub fn holder(&self) -> Option<&(VmName, Instance)> {
-        self.holder.as_ref()
+    /// The current owner, if a claim has been read and the shard was not released since.
+    pub fn owner(&self) -> Option<&(VmName, Instance)> {
+        self.owner.as_ref()
     }
 
-    /// A program's state.
+    /// The state of a program, if one is known.
     pub fn program(&self, program: &ProgramId) -> Option<&ProgramState> {
         self.programs.get(program)
     }
 
-    /// All programs.
+    /// All known programs, including ended ones until they are removed.
     pub fn programs(&self) -> impl Iterator<Item = (&ProgramId, &ProgramState)> {
         self.programs.iter()
     }
 
-    /// What a program's account has used.
+    /// Tokens used and reserved by a program's account, which it shares with its sub-agents.
     pub fn account(&self, program: &ProgramId) -> Account {
         self.accounts.get(&program.account()).copied().unwrap_or_default()
     }
 
-    /// Drops what is left of programs that ended before `before`.
+    /// Removes programs that ended before `before`.
     pub fn remove_ended(&mut self, before: UnixMs) {
-        let over = |state: &ProgramState| state.ended.is_some_and(|ended| ended < before);
-        self.programs.retain(|_, state| !over(state));
+        let is_over = |state: &ProgramState| state.ended.is_some_and(|ended| ended < before);
+        self.programs.retain(|_, state| !is_over(state));
         self.rebuild_accounts();
     }
 
-    /// Applies the record at `offset`. Offsets below [`ShardFold::next`] were applied already.
+    /// Applies the record at `offset`. Records below [`ShardState::next_offset`] have been applied
+    /// already and are ignored.
     pub fn apply(&mut self, offset: Offset, time: UnixMs, record: &Record) -> ApplyOutcome {
-        if offset < self.next {
+        if offset < self.next_offset {
             return ApplyOutcome::Ignored;
         }
-        self.next = offset.plus(1);
+        self.next_offset = offset.plus(1);
         if let Record::Claim { entry, instance, .. } = record {
             self.epoch = Epoch(offset.0);
-            self.holder = Some((entry.clone(), *instance));
+            self.owner = Some((entry.clone(), *instance));
             return ApplyOutcome::Accepted;
         }
         if record.epoch() != Some(self.epoch) {
             return ApplyOutcome::Ignored;
         }
-        self.apply_of_holder(time, record)
+        self.apply_from_owner(time, record)
     }
 
-    fn apply_of_holder(&mut self, time: UnixMs, record: &Record) -> ApplyOutcome {
+    fn apply_from_owner(&mut self, time: UnixMs, record: &Record) -> ApplyOutcome {
         match record {
             Record::Claim { .. } => ApplyOutcome::Ignored,
-            Record::Release { .. } => self.release(),
-            Record::Intent(intent) => self.open(time, intent),
+            Record::Release { .. } => self.apply_release(),
+            Record::Intent(intent) => self.apply_intent(time, intent),
             Record::Settled { program, attempt, charge_tokens, .. } => {
-                self.settle(time, program, *attempt, *charge_tokens)
+                self.apply_settled(time, program, *attempt, *charge_tokens)
             }
-            Record::Outcome(outcome) => self.finish(time, outcome),
-            Record::Ended { program, .. } => self.end(time, program),
-            Record::Snapshot { snapshot, .. } => self.restore(time, snapshot),
+            Record::Outcome(outcome) => self.apply_outcome(time, outcome),
+            Record::Ended { program, .. } => self.apply_ended(time, program),
+            Record::Snapshot { snapshot, .. } => self.apply_snapshot(time, snapshot),
         }
     }
 
-    fn release(&mut self) -> ApplyOutcome {
-        self.holder = None;
-        // An epoch that no claim can have: nothing counts until the next claim.
+    fn apply_release(&mut self) -> ApplyOutcome {
+        self.owner = None;
+        // Offsets start at 1, so no claim has epoch 0: nothing is accepted until the next claim.
         self.epoch = Epoch(0);
         ApplyOutcome::Accepted
     }
 
-    fn open(&mut self, time: UnixMs, intent: &IntentRecord) -> ApplyOutcome {
+    fn apply_intent(&mut self, time: UnixMs, intent: &IntentRecord) -> ApplyOutcome {
         self.create_if_missing(&intent.program, time, intent.turn);
-        self.change(&intent.program, |state| {
-            // An append that was sent again can take effect twice; the second copy must not open
-            // an attempt that was settled between the two, which nobody would ever close.
-            let newer = state.last_attempt.is_none_or(|last| last < intent.attempt);
-            let next = intent.turn == state.next_turn();
-            if state.ended.is_some() || state.has_history_gap || !newer || !next {
+        self.update_program(&intent.program, |state| {
+            // An append that was retried can take effect twice. The second copy must not reopen
+            // an attempt that was settled in between: nobody would ever close it.
+            let is_new = state.last_attempt.is_none_or(|last| last < intent.attempt);
+            let is_next_turn = intent.turn == state.next_turn();
+            if state.ended.is_some() || state.has_history_gap || !is_new || !is_next_turn {
                 return ApplyOutcome::Ignored;
             }
-            // The attempt before this one was never settled: nobody knows what it used.
-            let superseded = state.reserved_tokens();
-            state.settle(superseded);
+            // If the previous attempt was never settled, its usage is unknown: charge all of its
+            // reservation.
+            let reservation = state.reserved_tokens();
+            state.settle(reservation);
             state.open_intent = Some(intent.clone());
             state.last_attempt = Some(intent.attempt);
             state.newest_record_time = time;
@@ -148,14 +160,14 @@
         })
     }
 
-    fn settle(
+    fn apply_settled(
         &mut self,
         time: UnixMs,
         program: &ProgramId,
         attempt: AttemptId,
         charge_tokens: u64,
     ) -> ApplyOutcome {
-        self.change(program, |state| {
+        self.update_program(program, |state| {
             if !state.is_open(attempt) {
                 return ApplyOutcome::Ignored;
             }
@@ -165,9 +177,9 @@
         })
     }
 
-    fn finish(&mut self, time: UnixMs, outcome: &OutcomeRecord) -> ApplyOutcome {
+    fn apply_outcome(&mut self, time: UnixMs, outcome: &OutcomeRecord) -> ApplyOutcome {
         self.create_if_missing(&outcome.program, time, outcome.turn);
-        self.change(&outcome.program, |state| {
+        self.update_program(&outcome.program, |state| {
             if state.has_history_gap {
                 state.turn_count = state.turn_count.max(outcome.turn.0);
                 return ApplyOutcome::Ignored;
@@ -181,10 +193,10 @@
         })
     }
 
-    fn end(&mut self, time: UnixMs, program: &ProgramId) -> ApplyOutcome {
+    fn apply_ended(&mut self, time: UnixMs, program: &ProgramId) -> ApplyOutcome {
         self.create_if_missing(program, time, TurnNo(1));
-        for id in self.ended_with(program) {
-            self.change(&id, |state| {
+        for id in self.programs_ended_with(program) {
+            self.update_program(&id, |state| {
                 state.end(time);
                 ApplyOutcome::Accepted
             });
@@ -192,27 +204,28 @@
         ApplyOutcome::Accepted
     }
 
-    /// A snapshot only fills a gap. Where the state is known it must not be replaced: a snapshot
-    /// whose append took effect late, after it had been sent again, would revert the history.
-    fn restore(&mut self, time: UnixMs, snapshot: &ProgramSnapshot) -> ApplyOutcome {
+    /// Restores a program from a snapshot if records before it are missing. A complete state is
+    /// never replaced: a snapshot whose append was retried and took effect late would otherwise
+    /// revert the history.
+    fn apply_snapshot(&mut self, time: UnixMs, snapshot: &ProgramSnapshot) -> ApplyOutcome {
         self.programs
             .entry(snapshot.program.clone())
             .or_insert_with(|| ProgramState { has_history_gap: true, ..ProgramState::new(time) });
-        self.change(&snapshot.program, |state| {
-            let same =
-                state.turn_count == snapshot.turn_count && state.open_intent == snapshot.open;
+        self.update_program(&snapshot.program, |state| {
+            let is_unchanged = state.turn_count == snapshot.turn_count
+                && state.open_intent == snapshot.open_intent;
             let fills_gap = state.has_history_gap && state.turn_count <= snapshot.turn_count;
             if fills_gap {
                 *state = ProgramState::restore(snapshot, time);
-            } else if same {
+            } else if is_unchanged {
                 state.oldest_record_time = time;
             }
-            if same || fills_gap { ApplyOutcome::Accepted } else { ApplyOutcome::Ignored }
+            if is_unchanged || fills_gap { ApplyOutcome::Accepted } else { ApplyOutcome::Ignored }
         })
     }
 
-    /// The programs that end with `program`: itself, and under a root all its sub-agents.
-    fn ended_with(&self, program: &ProgramId) -> Vec<ProgramId> {
+    /// The programs that end together with `program`: itself and, for a root, all its sub-agents.
+    fn programs_ended_with(&self, program: &ProgramId) -> Vec<ProgramId> {
         let account = program.account();
         let is_root = *program == account;
         let ends = |id: &ProgramId| id == program || (is_root && id.account() == account);
@@ -220,7 +233,8 @@
         live.map(|(id, _)| id).filter(|id| ends(id)).cloned().collect()
     }
 
-    /// A program whose first known record is not of its first turn lacks the ones before it.
+    /// Adds a program on its first retained record. If that is not a record of turn 1, the earlier
+    /// records have expired and the history has a gap.
     fn create_if_missing(&mut self, program: &ProgramId, time: UnixMs, turn: TurnNo) {
         self.programs.entry(program.clone()).or_insert_with(|| ProgramState {
             has_history_gap: turn != TurnNo(1),
@@ -229,20 +243,20 @@
         });
     }
 
-    /// Changes a program's state and its account with it.
-    fn change(
+    /// Changes a program's state and updates the totals of its account.
+    fn update_program(
         &mut self,
         program: &ProgramId,
-        change: impl FnOnce(&mut ProgramState) -> ApplyOutcome,
+        update: impl FnOnce(&mut ProgramState) -> ApplyOutcome,
     ) -> ApplyOutcome {
         let Some(state) = self.programs.get_mut(program) else {
             return ApplyOutcome::Ignored;
         };
         let account = self.accounts.entry(program.account()).or_default();
-        account.remove(state);
-        let applied = change(state);
+        account.subtract(state);
+        let outcome = update(state);
         account.add(state);
-        applied
+        outcome
     }
 
     fn rebuild_accounts(&mut self) {
--- a/src/programs/tests/fake_log.rs
+++ b/src/programs/tests/fake_log.rs
@@ -1,12 +1,12 @@
 use crate::prelude::*;
 use crate::programs::{AppendedAt, ReadPage, Record, ShardState, StoredRecord};
 
-/// One stream of a log, in memory.
+/// One stream of the log, in memory.
 #[derive(Default)]
 pub struct FakeLog {
     pub records: Vec<StoredRecord<Record>>,
     pub earliest: u64,
-    pub out: bool,
+    pub unavailable: bool,
     pub appends: usize,
 }
 
@@ -25,20 +25,20 @@
         self.earliest.max(1) + self.records.len() as u64
     }
 
-    /// What the whole stream says.
+    /// The shard's state after replaying the whole stream.
     pub fn shard_state(&self) -> ShardState {
         ShardState::from_records(Offset(self.earliest.max(1)), &self.records)
     }
 
     pub fn read(&self, from: Option<Offset>, limit: usize) -> ReadPage {
         let from = from.unwrap_or(Offset(0));
-        let rest = self.records.iter().filter(|stored| stored.offset >= from);
-        let records: Vec<StoredRecord<Record>> = rest.take(limit).cloned().collect();
+        let later = self.records.iter().filter(|stored| stored.offset >= from);
+        let records: Vec<StoredRecord<Record>> = later.take(limit).cloned().collect();
         let at_end = records.last().is_none_or(|last| last.offset.0 + 1 >= self.end());
         ReadPage { earliest: Offset(self.earliest.max(1)), records, at_end }
     }
 
-    /// Drops records older than `before`.
+    /// Removes records appended before `before`, as the log's retention does.
     pub fn expire(&mut self, before: u64) {
         let kept = self.records.iter().position(|stored| stored.time_ms.0 >= before);
         let dropped = kept.unwrap_or(self.records.len());
--- a/src/programs/tests/mod.rs
+++ b/src/programs/tests/mod.rs
@@ -3,7 +3,7 @@
 mod properties;
 mod replay;
 mod shard_state;
-mod world;
+mod simulation;
 
 use crate::prelude::*;
 use crate::programs::{Message, ProgramLimits, TurnRequest, Work};
@@ -20,12 +20,12 @@
 }
 
 pub(crate) fn request(program: &ProgramId, turn: u32, work: Work, deadline: u64) -> TurnRequest {
-    let asked = serde_json::to_vec(&work).unwrap();
+    let work_json = serde_json::to_vec(&work).unwrap();
     TurnRequest {
         program: program.clone(),
         turn: Some(TurnNo(turn)),
         idempotency_key: None,
-        digest: Digest::of(&[&asked]),
+        digest: Digest::of(&[&work_json]),
         work,
         deadline: TimeMs(deadline),
         limits: LIMITS,
--- a/src/programs/tests/properties.rs
+++ b/src/programs/tests/properties.rs
@@ -2,13 +2,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-use super::world::{Step, World};
+use super::simulation::{Simulation, Step};
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     vec((any::<u8>(), any::<u8>()).prop_map(|(kind, arg)| Step { kind, arg }), 0..400)
 }
 
-/// The number of cases and the seed: fixed in CI, raised by hand for a long run.
+/// Cases and seed are fixed for CI; `TREFOIL_CASES` and `TREFOIL_SEED` override them for long runs.
 fn config() -> Config {
     let cases = std::env::var("TREFOIL_CASES").ok().and_then(|cases| cases.parse().ok());
     let seed = std::env::var("TREFOIL_SEED").ok().and_then(|seed| seed.parse().ok());
@@ -24,16 +24,18 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Owners die, pause past a takeover and wake; the log is out, loses answers and takes
-    /// effect late; processes beside endpoints die and connections break; callers repeat, come
-    /// early and go away. Whatever the order: turns run in order on the right history, payments
-    /// at most once, budgets hold, refusals are true, and once faults end every program ends.
+    /// Random sequences of faults: owners crash, or pause until another entry has taken over and
+    /// then resume; the log is unavailable, loses answers, or applies appends late; endpoint
+    /// processes crash and connections break; callers repeat calls, call too early, and
+    /// disconnect. In any order of these, turns run in order on the recorded history, payments run
+    /// at most once, budgets are never exceeded, calls refused as not run did not run, and every
+    /// program finishes once the faults stop.
     #[test]
-    fn programs_keep_their_promises_under_any_interleaving(steps in steps()) {
-        let mut world = World::new(4);
-        world.paced = true;
-        world.step(Step { kind: 54, arg: 0 });
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
+    fn invariants_hold_under_any_interleaving_of_faults(steps in steps()) {
+        let mut simulation = Simulation::new(4);
+        simulation.limit_append_rate = true;
+        simulation.step(Step { kind: 54, arg: 0 });
+        steps.into_iter().for_each(|step| simulation.step(step));
+        simulation.run_to_completion();
     }
 }
--- a/src/programs/tests/shard_state.rs
+++ b/src/programs/tests/shard_state.rs
@@ -42,32 +42,32 @@
     })
 }
 
-fn shard_state(records: &[Record]) -> (ShardState, Vec<ApplyOutcome>) {
-    let mut shard_state = ShardState::new();
-    let applied = (1..)
+fn replay(records: &[Record]) -> (ShardState, Vec<ApplyOutcome>) {
+    let mut shard = ShardState::new();
+    let outcomes = (1..)
         .zip(records)
-        .map(|(offset, record)| shard_state.apply(Offset(offset), UnixMs(offset * 10), record))
+        .map(|(offset, record)| shard.apply(Offset(offset), UnixMs(offset * 10), record))
         .collect();
-    (shard_state, applied)
+    (shard, outcomes)
 }
 
-/// An append of an intent was not answered and was sent again; the attempt was rejected and
-/// settled. Then the first append takes effect after all. If it counted, the program would wait
-/// for ever on an attempt that nobody dispatched, with its reservation held.
+/// The append of an intent is not answered and is retried; the attempt is rejected and settled.
+/// Then the first append takes effect as well. If that copy were accepted, the program would wait
+/// forever for an attempt that nobody dispatched, and its tokens would stay reserved.
 #[test]
-fn a_late_copy_of_a_settled_intent_does_not_open_it_again() {
+fn late_copy_of_a_settled_intent_does_not_reopen_the_attempt() {
     let first = attempt(1, 1);
     let records = [claim(1), intent("a", 1, first), settled("a", first), intent("a", 1, first)];
-    let (shard_state, applied) = shard_state(&records);
-    assert_eq!(applied[3], ApplyOutcome::Ignored);
-    assert_eq!(shard_state.program(&program("a")).unwrap().open_intent, None);
-    assert_eq!(shard_state.account(&program("a")).reserved_tokens, 0);
+    let (shard, outcomes) = replay(&records);
+    assert_eq!(outcomes[3], ApplyOutcome::Ignored);
+    assert_eq!(shard.program(&program("a")).unwrap().open_intent, None);
+    assert_eq!(shard.account(&program("a")).reserved_tokens, 0);
 }
 
-/// A paused owner wakes up after its successor's claim and appends an outcome. It is void for
-/// every reader, so that the successor's own outcome is the only one.
+/// A paused owner resumes after its successor's claim and appends an outcome. Every reader must
+/// ignore it, so that only the successor's outcome is recorded for the turn.
 #[test]
-fn what_a_replaced_owner_appends_is_void() {
+fn records_of_a_replaced_owner_are_ignored() {
     let (old, new) = (attempt(1, 1), attempt(3, 1));
     let records = [
         claim(1),
@@ -77,16 +77,17 @@
         intent("a", 1, new),
         outcome("a", 1, new),
     ];
-    let (shard_state, applied) = shard_state(&records);
-    assert_eq!(applied[3], ApplyOutcome::Ignored);
-    assert_eq!(applied[5], ApplyOutcome::Accepted);
-    let state = shard_state.program(&program("a")).unwrap();
-    // The attempt that was never settled is charged in full, the other as it was.
+    let (shard, outcomes) = replay(&records);
+    assert_eq!(outcomes[3], ApplyOutcome::Ignored);
+    assert_eq!(outcomes[5], ApplyOutcome::Accepted);
+    let state = shard.program(&program("a")).unwrap();
+    // The attempt that was never settled is charged its whole reservation of 5 tokens, the other
+    // the 5 tokens of its outcome.
     assert_eq!((state.turn_count, state.spent_tokens), (1, 10));
 }
 
 fn snapshot(name: &str, turns: u32) -> Record {
-    let entry = FinishedTurn {
+    let turn = FinishedTurn {
         digest: Digest::of(&[]),
         idempotency_key: None,
         messages: Vec::new(),
@@ -96,20 +97,20 @@
         epoch: Epoch(1),
         snapshot: ProgramSnapshot {
             program: program(name),
-            turns: vec![entry; turns as usize],
+            turns: vec![turn; turns as usize],
             turn_count: turns,
             spent_tokens: u64::from(turns) * 5,
-            open: None,
+            open_intent: None,
             last_attempt: None,
             ended: None,
         },
     }
 }
 
-/// A snapshot's append takes effect late, when the program is a turn further. It must not take
-/// the history back.
+/// The append of a snapshot takes effect late, after the program has finished another turn. It
+/// must not revert the history.
 #[test]
-fn a_late_snapshot_reverts_nothing() {
+fn late_snapshot_does_not_revert_the_history() {
     let (first, second) = (attempt(1, 1), attempt(1, 2));
     let records = [
         claim(1),
@@ -119,17 +120,17 @@
         outcome("a", 2, second),
         snapshot("a", 1),
     ];
-    let (shard_state, applied) = shard_state(&records);
-    assert_eq!(applied[5], ApplyOutcome::Ignored);
-    assert_eq!(shard_state.program(&program("a")).unwrap().turn_count, 2);
+    let (shard, outcomes) = replay(&records);
+    assert_eq!(outcomes[5], ApplyOutcome::Ignored);
+    assert_eq!(shard.program(&program("a")).unwrap().turn_count, 2);
 }
 
-/// Retention has passed over a program's first turns. Without a snapshot its history has a gap,
-/// and that is an error state; with one behind the gap it is whole.
+/// The log's retention has removed the records of a program's first turns. The history then has a
+/// gap, and calls are refused, unless a later snapshot covers all turns so far.
 #[test]
-fn a_history_with_a_gap_is_damaged_until_a_snapshot_fills_it() {
+fn history_has_a_gap_until_a_snapshot_covers_it() {
     let third = attempt(1, 3);
-    let stored = |records: Vec<Record>| {
+    let replay_from_20 = |records: Vec<Record>| {
         let stored = (20..).zip(records).map(|(offset, data)| crate::programs::StoredRecord {
             offset: Offset(offset),
             time_ms: UnixMs(offset),
@@ -138,19 +139,19 @@
         ShardState::from_records(Offset(20), &stored.collect::<Vec<_>>())
     };
     let gap = vec![intent("a", 3, third), outcome("a", 3, third)];
-    let has_history_gap = stored(gap.clone());
-    assert!(has_history_gap.program(&program("a")).unwrap().has_history_gap);
-    let filled = stored([gap.clone(), vec![snapshot("a", 3)]].concat());
+    let incomplete = replay_from_20(gap.clone());
+    assert!(incomplete.program(&program("a")).unwrap().has_history_gap);
+    let filled = replay_from_20([gap.clone(), vec![snapshot("a", 3)]].concat());
     let state = filled.program(&program("a")).unwrap();
     assert!(!state.has_history_gap && state.turn_count == 3 && state.turns.len() == 3);
-    let outdated = stored([gap, vec![snapshot("a", 2)]].concat());
+    let outdated = replay_from_20([gap, vec![snapshot("a", 2)]].concat());
     assert!(outdated.program(&program("a")).unwrap().has_history_gap);
 }
 
-/// The claim in force where the retained records begin has expired with them. Records name its
-/// epoch; one of an older epoch in between is still void.
+/// The claim that applies to the first retained records has itself expired. Its epoch must be
+/// taken from the records that name it, and records of an older epoch must still be ignored.
 #[test]
-fn an_expired_claim_is_known_by_the_records_of_its_epoch() {
+fn epoch_of_an_expired_claim_is_taken_from_later_records() {
     let (old, new) = (attempt(3, 9), attempt(7, 1));
     let stored = [(20, intent("a", 1, old)), (21, intent("a", 1, new))];
     let stored = stored.map(|(offset, data)| crate::programs::StoredRecord {
@@ -158,7 +159,7 @@
         time_ms: UnixMs(offset),
         data,
     });
-    let shard_state = ShardState::from_records(Offset(20), &stored);
-    assert_eq!(shard_state.epoch(), Epoch(7));
-    assert_eq!(shard_state.program(&program("a")).unwrap().spent_tokens, 0);
+    let shard = ShardState::from_records(Offset(20), &stored);
+    assert_eq!(shard.epoch(), Epoch(7));
+    assert_eq!(shard.program(&program("a")).unwrap().spent_tokens, 0);
 }
--- a/src/programs/tests/world/endpoints.rs
+++ b/src/programs/tests/simulation/endpoints.rs
@@ -1,7 +1,7 @@
-//! What endpoints do in a run: they take attempts, generate words, and check as they start that
-//! order, history and at-most-once hold.
+//! Simulated endpoints: they run attempts and generate answers word by word. When an attempt
+//! starts, they check turn order, history and at-most-once execution.
 
-use super::{Message, World};
+use super::{Message, Simulation};
 use crate::endpoint::{SchedulerAction, Submission};
 use crate::prelude::*;
 use crate::programs::tests::LIMITS;
@@ -11,10 +11,11 @@
     Reply, TurnResult, Usage,
 };
 
-impl World {
+impl Simulation {
     pub(super) fn submit(&mut self, nonce: u64, attempt: Attempt) {
         let id = attempt.id;
-        let target = self.endpoints.iter().position(|e| e.me.vm == attempt.target.vm).unwrap();
+        let target =
+            self.endpoints.iter().position(|e| e.endpoint_ref.vm == attempt.target.vm).unwrap();
         let endpoint = &mut self.endpoints[target];
         match endpoint.scheduler.submit(TimeMs(self.now), attempt) {
             Submission::Accepted => {
@@ -26,22 +27,22 @@
                 let cause = FailureCause::Rejected;
                 let frame = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
                 let event = Event::Frame { attempt: id, frame };
-                self.net.push(Message::Owner { nonce, event });
+                self.in_flight.push(Message::Owner { nonce, event });
             }
             Submission::Duplicate => {
-                self.net
+                self.in_flight
                     .push(Message::Owner { nonce, event: Event::ConnectionLost { attempt: id } });
             }
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn query_attempt(
         &mut self,
         attempt: AttemptId,
         at: &EndpointRef,
         epoch: Epoch,
     ) -> AttemptReport {
-        let endpoint = self.endpoints.iter_mut().find(|e| e.me.vm == at.vm).unwrap();
+        let endpoint = self.endpoints.iter_mut().find(|e| e.endpoint_ref.vm == at.vm).unwrap();
         endpoint.scheduler.query(attempt, at.instance, epoch)
     }
 
@@ -56,31 +57,38 @@
         }
     }
 
-    /// The endpoint starts to run an attempt: order, history and at-most-once are checked here.
+    /// Starts an attempt, and checks turn order, history and at-most-once execution.
     fn start(&mut self, index: usize, attempt: Attempt) {
         let key = (attempt.program.clone(), attempt.turn);
         let turn = attempt.turn.0;
         assert!(
             self.callers.may_have_run(&attempt.program, turn),
-            "{} turn {turn} runs though every call of it was refused as not run",
+            "{} turn {turn} started although every call of it was refused as not run",
             attempt.program
         );
         let expected = self.recorded_history(&attempt.program, turn);
         match &attempt.work {
             AttemptWork::Model { messages, .. } => {
-                assert_eq!(*messages, expected, "a wrong history");
+                assert_eq!(
+                    *messages, expected,
+                    "{} turn {turn} started on a history that differs from the recorded one",
+                    attempt.program
+                );
             }
             AttemptWork::Service { idempotent, .. } => {
                 let runs = self.executions.get(&key).copied().unwrap_or(0);
-                assert!(*idempotent || runs == 0, "{} turn {turn} runs twice", attempt.program);
+                assert!(
+                    *idempotent || runs == 0,
+                    "{} turn {turn} is not idempotent and started twice",
+                    attempt.program
+                );
             }
         }
         *self.executions.entry(key).or_default() += 1;
         self.endpoints[index].running.push((attempt, 0));
     }
 
-    /// The conversation that the model must see in a turn, by what the log says of the turns
-    /// before it.
+    /// The conversation that the model must get in a turn, from the recorded earlier turns.
     fn recorded_history(&self, program: &ProgramId, turn: u32) -> Vec<crate::programs::Message> {
         let shard_state = self.log.shard_state();
         let mut history = Vec::new();
@@ -88,7 +96,7 @@
             let state = shard_state.program(program);
             let recorded = state.and_then(|state| state.turn(TurnNo(earlier)));
             let Some(recorded) = recorded else {
-                panic!("{program} turn {turn} runs before turn {earlier} has ended");
+                panic!("{program} turn {turn} started before turn {earlier} was recorded");
             };
             history.extend(Callers::work(program, earlier).messages());
             if let TurnResult::Answered { text, .. } = &recorded.result {
@@ -99,15 +107,19 @@
         history
     }
 
-    /// An answer that a caller gets stands in the log already.
-    pub(super) fn check_recorded(&self, call: CallId, reply: &Reply) {
+    /// Checks that an answer sent to a caller is already recorded in the log.
+    pub(super) fn check_is_recorded(&self, call: CallId, reply: &Reply) {
         let Reply::Answer { turn, result, .. } = reply else {
             return;
         };
         if let Some(program) = self.callers.program_of(call) {
             let shard_state = self.log.shard_state();
             let recorded = shard_state.program(&program).and_then(|state| state.turn(*turn));
-            assert_eq!(recorded.map(|entry| &entry.result), Some(result), "not what is recorded");
+            assert_eq!(
+                recorded.map(|turn| &turn.result),
+                Some(result),
+                "{program}: the answer is not the recorded result"
+            );
         }
     }
 
@@ -121,27 +133,30 @@
         }
     }
 
-    pub(super) fn progress_all(&mut self, index: usize) {
+    pub(super) fn advance_all(&mut self, index: usize) {
         for _ in 0..8 {
-            self.progress(index);
+            self.advance(index);
         }
     }
 
-    /// A running attempt gets a token further, or ends.
-    pub(super) fn progress(&mut self, arg: usize) {
+    /// Generates one more word of a running attempt, or finishes it.
+    pub(super) fn advance(&mut self, arg: usize) {
         let index = arg % 2;
         let running = &mut self.endpoints[index].running;
         let count = running.len();
         let Some((attempt, sent)) = running.get_mut(arg / 2 % count.max(1)) else {
             return;
         };
-        let (id, words) = (attempt.id, answer_words(attempt));
+        let (id, words) = (attempt.id, remaining_words(attempt));
         if let Some(word) = words.get(*sent) {
             *sent += 1;
             let account = attempt.program.account();
             let generated = self.generated.entry(account).or_default();
             *generated += 1;
-            assert!(*generated <= LIMITS.budget_tokens, "a budget is exceeded");
+            assert!(
+                *generated <= LIMITS.budget_tokens,
+                "an account generated more tokens than its budget"
+            );
             let text = word.as_str().into();
             return self.frame(index, id, AttemptFrame::Delta { text });
         }
@@ -167,13 +182,13 @@
         }
         if let Some(nonce) = nonce {
             let event = Event::Frame { attempt, frame };
-            self.net.push(Message::Owner { nonce, event });
+            self.in_flight.push(Message::Owner { nonce, event });
         }
     }
 }
 
-/// The words that an attempt still has to generate.
-fn answer_words(attempt: &Attempt) -> Vec<String> {
+/// The words of the answer that come after the attempt's resume text.
+fn remaining_words(attempt: &Attempt) -> Vec<String> {
     match &attempt.work {
         AttemptWork::Model { messages, resume_text, max_tokens, .. } => {
             let resumed = resume_text.split_inclusive(' ').count();
--- a/src/programs/tests/world/mod.rs
+++ b/src/programs/tests/simulation/mod.rs
@@ -14,24 +14,24 @@
 };
 
 const SHARD: ShardId = ShardId(0);
-const PAGE: usize = 7;
+const PAGE_RECORDS: usize = 7;
 const CACHE_LEASE_MS: u64 = 30_000;
 
-/// One step of a run: what happens, and to whom.
+/// One step of a simulation: `kind` selects the event, `arg` what it affects.
 #[derive(Debug, Clone, Copy)]
 pub struct Step {
     pub kind: u8,
     pub arg: u8,
 }
 
-/// Something on its way from one part to another.
+/// A message in flight between two parts of the simulation.
 #[derive(Debug, Clone)]
 enum Message {
     Owner { nonce: u64, event: Event },
     Append { nonce: u64, records: Vec<Record> },
     Read { nonce: u64, from: Option<Offset> },
     Submit { nonce: u64, attempt: Attempt },
-    Ask { nonce: u64, attempt: AttemptId, endpoint: EndpointRef, epoch: Epoch },
+    QueryAttempt { nonce: u64, attempt: AttemptId, endpoint: EndpointRef, epoch: Epoch },
     Reply { call: CallId, reply: Reply },
 }
 
@@ -43,40 +43,44 @@
 
 struct Endpoint {
     scheduler: AttemptScheduler,
-    me: EndpointRef,
+    endpoint_ref: EndpointRef,
     running: Vec<(Attempt, usize)>,
-    /// To which owner the frames of an attempt go; gone once the connection broke.
+    /// The owner, by its nonce, that gets the frames of an attempt; removed when the connection
+    /// breaks.
     listeners: HashMap<AttemptId, u64>,
 }
 
-/// Two entries, two endpoints, a log and callers, driven one step at a time. Everything that
-/// must always hold is checked as it happens.
-pub struct World {
+/// A simulation of two entries, two endpoints, a log and callers, driven one step at a time.
+/// Invariants are checked at each step.
+pub struct Simulation {
     pub now: u64,
     pub log: FakeLog,
     pub callers: Callers,
     entries: Vec<Entry>,
     endpoints: Vec<Endpoint>,
-    net: Vec<Message>,
+    in_flight: Vec<Message>,
     next_nonce: u64,
-    /// Appends that take effect but are not answered; later, or at once.
+    /// The next append takes effect, but its answer is lost.
     pub lose_next_append: bool,
+    /// The next append is not answered and takes effect later.
     pub delay_next_append: Option<()>,
-    delayed: Vec<Vec<Record>>,
+    delayed_appends: Vec<Vec<Record>>,
     pub executions: HashMap<(ProgramId, TurnNo), usize>,
     generated: HashMap<ProgramId, u64>,
-    /// Whether appends have to wait for their part of the log's rate now and then.
-    pub paced: bool,
+    /// Whether some appends are delayed by the entry's share of the log's append rate.
+    pub limit_append_rate: bool,
 }
 
-struct Place<'a>(&'a [Endpoint], usize, bool);
+/// Environment of an owner: the endpoints, a number that selects one of them, and whether appends
+/// are limited by the entry's share of the log's append rate.
+struct Environment<'a>(&'a [Endpoint], usize, bool);
 
-impl OwnerEnvironment for Place<'_> {
+impl OwnerEnvironment for Environment<'_> {
     fn place(&mut self, request: &PlaceRequest<'_>) -> Result<EndpointRef, PlaceRefusal> {
-        let usable = |e: &&Endpoint| Some(&e.me.vm) != request.avoid;
+        let usable = |e: &&Endpoint| Some(&e.endpoint_ref.vm) != request.avoid;
         let usable: Vec<&Endpoint> = self.0.iter().filter(usable).collect();
         let chosen = usable.get(self.1 % usable.len().max(1));
-        chosen.map(|endpoint| endpoint.me.clone()).ok_or(PlaceRefusal::NoEndpoint)
+        chosen.map(|endpoint| endpoint.endpoint_ref.clone()).ok_or(PlaceRefusal::NoEndpoint)
     }
 
     fn crash_status(&self, _: &WorkspaceId, _: &Digest) -> CrashStatus {
@@ -94,7 +98,7 @@
     }
 
     fn reserve_append(&mut self) -> u64 {
-        // Now and then the entry's part of the log's rate is used up.
+        // In some steps, the entry has used up its share of the log's append rate.
         if self.2 && self.1.is_multiple_of(3) { 40 } else { 0 }
     }
 
@@ -112,48 +116,50 @@
     }
 }
 
-impl World {
-    pub fn new(programs: usize) -> World {
+impl Simulation {
+    pub fn new(programs: usize) -> Simulation {
         let entries = (0..2).map(|_| Entry { owner: None, nonce: 0, paused: false });
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 1_000,
             log: FakeLog::default(),
             callers: Callers::new(programs),
             entries: entries.collect(),
             endpoints: Vec::new(),
-            net: Vec::new(),
+            in_flight: Vec::new(),
             next_nonce: 1,
             lose_next_append: false,
             delay_next_append: None,
-            delayed: Vec::new(),
+            delayed_appends: Vec::new(),
             executions: HashMap::new(),
             generated: HashMap::new(),
-            paced: false,
+            limit_append_rate: false,
         };
-        world.endpoints = (0..2).map(|index| world.new_endpoint(index)).collect();
-        world
+        simulation.endpoints = (0..2).map(|index| simulation.new_endpoint(index)).collect();
+        simulation
     }
 
     fn new_endpoint(&mut self, index: usize) -> Endpoint {
         self.next_nonce += 1;
-        let me = EndpointRef { vm: vm(&format!("m{index}")), instance: Instance(self.next_nonce) };
+        let endpoint_ref =
+            EndpointRef { vm: vm(&format!("m{index}")), instance: Instance(self.next_nonce) };
         let limits = SchedulerLimits {
             concurrency: 2,
             queue: 16,
             cache_lease_ms: CACHE_LEASE_MS,
             finished_bytes: 400,
         };
-        let scheduler = AttemptScheduler::new(me.clone(), limits, OrderPolicy::FairThenAttained);
-        Endpoint { scheduler, me, running: Vec::new(), listeners: HashMap::new() }
+        let scheduler =
+            AttemptScheduler::new(endpoint_ref.clone(), limits, OrderPolicy::FairThenAttained);
+        Endpoint { scheduler, endpoint_ref, running: Vec::new(), listeners: HashMap::new() }
     }
 
-    /// Does one step. Kinds are weighted towards plain progress.
+    /// Runs one step. Most kinds make normal progress; the others inject faults.
     pub fn step(&mut self, step: Step) {
         let arg = usize::from(step.arg);
         match step.kind % 64 {
             0..=25 => (0..3).for_each(|turn| self.deliver(arg + turn)),
             26..=29 => self.tick(u64::from(step.arg)),
-            30..=37 => (0..2).for_each(|turn| self.progress(arg + turn)),
+            30..=37 => (0..2).for_each(|turn| self.advance(arg + turn)),
             38..=45 => self.call(arg),
             46 => self.call_early(arg),
             47 => self.kill_entry(arg % 2),
@@ -161,13 +167,13 @@
             49..=50 => self.entries[arg % 2].paused = false,
             51..=53 => self.claim_if_free(arg),
             54 => self.claim(arg % 2),
-            55 => self.log.out = arg.is_multiple_of(4),
+            55 => self.log.unavailable = arg.is_multiple_of(4),
             56 => self.lose_next_append = true,
             57 => self.delay_next_append = Some(()),
             58..=59 => self.kill_endpoint(arg % 2),
-            60..=61 => self.cut(arg),
-            62 => self.land_delayed(),
-            _ => self.abandon(arg),
+            60..=61 => self.break_connection(arg),
+            62 => self.apply_delayed_append(),
+            _ => self.disconnect_caller(arg),
         }
     }
 
@@ -177,11 +183,11 @@
         }
     }
 
-    /// Lets everything that is on its way arrive, and `ms` pass.
+    /// Delivers all messages in flight, advances running attempts, and lets `ms` pass.
     pub fn round(&mut self, ms: u64) {
         for _ in 0..4 {
             self.deliver_all();
-            (0..2).for_each(|index| self.progress_all(index));
+            (0..2).for_each(|index| self.advance_all(index));
         }
         self.tick(ms);
     }
@@ -190,9 +196,9 @@
         self.entries[index].paused = paused;
     }
 
-    /// Ends all faults and lets everything finish.
-    pub fn settle(&mut self) {
-        self.log.out = false;
+    /// Ends all faults, and runs until every program is done.
+    pub fn run_to_completion(&mut self) {
+        self.log.unavailable = false;
         self.lose_next_append = false;
         self.delay_next_append = None;
         for round in 0..4_000 {
@@ -201,36 +207,36 @@
                 break;
             }
             if round % 8 == 0 {
-                self.call_all();
+                self.call_all_programs();
             }
             self.deliver_all();
-            (0..2).for_each(|index| self.progress_all(index));
+            (0..2).for_each(|index| self.advance_all(index));
             self.tick(60);
-            self.land_delayed();
+            self.apply_delayed_append();
         }
-        self.assert_done();
+        self.assert_all_done();
     }
 
-    fn assert_done(&self) {
+    fn assert_all_done(&self) {
         for program in &self.callers.programs {
-            let current = self.callers.current(program);
+            let current = self.callers.current_turn(program);
             let owners = self.entries.iter().filter_map(|entry| entry.owner.as_ref());
             let active: Vec<_> = owners.flat_map(|owner| owner.active_turns()).collect();
             assert!(
                 self.callers.is_done(program),
-                "{program} is stuck at turn {current}: {:?}, {active:?}",
+                "{program} is stuck at turn {current}; refusals {:?}, turns in flight {active:?}",
                 self.callers.refusals
             );
         }
     }
 
-    fn call_all(&mut self) {
+    fn call_all_programs(&mut self) {
         if self.entries.iter().all(|entry| entry.owner.is_none()) {
             self.claim(0);
         }
         let programs = self.callers.programs.clone();
         for program in programs {
-            let turn = self.callers.current(&program);
+            let turn = self.callers.current_turn(&program);
             if turn <= TURNS && !self.callers.is_done(&program) {
                 (0..2).for_each(|entry| self.call_at(entry, &program, turn));
             }
@@ -254,25 +260,26 @@
         self.entries[index] = Entry { owner: None, nonce: 0, paused: false };
     }
 
-    /// The process dies; what it had started at the engine has happened all the same.
+    /// The endpoint process crashes. Attempts that it had started still count as executed.
     pub fn kill_endpoint(&mut self, index: usize) {
         let lost: Vec<(AttemptId, u64)> =
             self.endpoints[index].listeners.iter().map(|(id, nonce)| (*id, *nonce)).collect();
         self.endpoints[index] = self.new_endpoint(index);
         for (attempt, nonce) in lost {
-            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
+            self.in_flight.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
         }
     }
 
-    /// A connection between an owner and an endpoint breaks, perhaps with the attempt on its way:
-    /// the owner hears of the break before the endpoint hears of the attempt.
-    pub fn cut(&mut self, arg: usize) {
-        let mut submits = self.net.iter().filter_map(|message| match message {
+    /// Breaks a connection between an owner and an endpoint. For an even `arg`, that is the
+    /// connection of the latest attempt still in flight to its endpoint, if there is one: the owner
+    /// then sees the break before the endpoint gets the attempt.
+    pub fn break_connection(&mut self, arg: usize) {
+        let mut submits = self.in_flight.iter().filter_map(|message| match message {
             Message::Submit { nonce, attempt } => Some((*nonce, attempt.id)),
             _ => None,
         });
         if let Some((nonce, attempt)) = submits.next_back().filter(|_| arg.is_multiple_of(2)) {
-            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
+            self.in_flight.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
             return;
         }
         let endpoint = &mut self.endpoints[arg % 2];
@@ -282,22 +289,22 @@
             return;
         };
         if let Some(nonce) = endpoint.listeners.remove(&attempt) {
-            self.net.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
+            self.in_flight.push(Message::Owner { nonce, event: Event::ConnectionLost { attempt } });
         }
     }
 
-    fn abandon(&mut self, arg: usize) {
-        let waiting = self.callers.waiting();
+    fn disconnect_caller(&mut self, arg: usize) {
+        let waiting = self.callers.waiting_calls();
         let Some(call) = waiting.get(arg % waiting.len().max(1)).copied() else {
             return;
         };
-        self.callers.abandon(call);
+        self.callers.disconnect(call);
         (0..2).for_each(|index| self.handle(index, Event::CallerGone { call }));
     }
 
     fn call(&mut self, arg: usize) {
         let program = self.callers.programs[arg / 2 % self.callers.programs.len()].clone();
-        let turn = self.callers.current(&program);
+        let turn = self.callers.current_turn(&program);
         if turn <= TURNS && !self.callers.is_done(&program) {
             self.call_at(arg % 2, &program, turn);
         }
@@ -305,7 +312,7 @@
 
     fn call_early(&mut self, arg: usize) {
         let program = self.callers.programs[arg / 2 % self.callers.programs.len()].clone();
-        let turn = self.callers.current(&program) + 1;
+        let turn = self.callers.current_turn(&program) + 1;
         if turn <= TURNS {
             self.call_at(arg % 2, &program, turn);
         }
@@ -318,7 +325,7 @@
         if self.entries[index].owner.is_none() {
             return;
         }
-        let (call, request) = self.callers.open(self.now, program, turn);
+        let (call, request) = self.callers.open_call(self.now, program, turn);
         self.handle(index, Event::Request { call, request });
     }
 
@@ -341,8 +348,9 @@
         let Some(owner) = entry.owner.as_mut() else {
             return;
         };
-        let mut place = Place(&self.endpoints, self.now as usize / 7, self.paced);
-        let actions = owner.handle(now, unix, event, &mut place);
+        let mut environment =
+            Environment(&self.endpoints, self.now as usize / 7, self.limit_append_rate);
+        let actions = owner.handle(now, unix, event, &mut environment);
         if owner.ownership().is_lost() {
             entry.owner = None;
         }
@@ -355,12 +363,12 @@
             Action::Read(from) => Message::Read { nonce, from },
             Action::Dispatch(attempt) => Message::Submit { nonce, attempt },
             Action::QueryAttempt { attempt, endpoint, epoch } => {
-                Message::Ask { nonce, attempt, endpoint, epoch }
+                Message::QueryAttempt { nonce, attempt, endpoint, epoch }
             }
             Action::Reply { call, reply } => Message::Reply { call, reply },
-            // The tick wakes it up just as well.
+            // The owner needs no wake-up, because each tick also makes it proceed.
             Action::Wake { .. } | Action::Cancel { .. } | Action::FreeCache { .. } => return,
         };
-        self.net.push(message);
+        self.in_flight.push(message);
     }
 }
--- a/src/routing/view.rs
+++ b/src/routing/endpoint_view.rs
@@ -1,30 +1,31 @@
 use crate::membership::{Peer, RoleStatus};
 use crate::prelude::*;
 
-/// An endpoint as routing sees it: late by a heartbeat.
+/// The state of an endpoint as reported in its last heartbeat; it lags by up to one heartbeat
+/// interval.
 #[value]
 pub struct EndpointView {
-    /// The process beside it.
+    /// The endpoint process.
     pub endpoint: EndpointRef,
-    /// Calls that it reported, running and waiting.
+    /// Calls running and queued, as reported.
     pub reported_load: u32,
-    /// Calls that it can run at once.
+    /// Number of calls that the endpoint can run at the same time.
     pub concurrency: u32,
-    /// When the report came.
+    /// Time at which the report was received.
     pub reported_at: TimeMs,
-    /// Whether it lies in the failure domain of the one who routes.
+    /// Whether the endpoint is in the router's failure domain.
     pub in_same_domain: bool,
-    /// Stands for the VM where endpoints are ranked.
+    /// Hash of the VM's name, used to rank endpoints.
     pub vm_hash: u64,
 }
 
 impl EndpointView {
-    /// The number that stands for a VM, the same on every entry.
+    /// Hashes the name of a VM. Every entry computes the same value.
     pub fn vm_hash(vm: &VmName) -> u64 {
         Digest::of(&[vm.as_str().as_bytes()]).prefix()
     }
 
-    /// The view of a peer, if it stands beside an endpoint.
+    /// Returns the view of a peer, or `None` if the peer is not an endpoint process.
     pub fn from_peer(peer: &Peer, failure_domain: &str) -> Option<EndpointView> {
         let RoleStatus::Endpoint { running, queued, concurrency, .. } = &peer.heartbeat.role_status
         else {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,14 +1,14 @@
-//! Routing: which endpoint runs an attempt.
+//! Routing: chooses the endpoint that runs an attempt.
 
-mod retries;
+mod endpoint_view;
+mod program_shares;
+mod retry_budget;
 mod router;
-mod shares;
-mod view;
 
-pub use retries::RetryBudget;
+pub use endpoint_view::EndpointView;
+pub use program_shares::ProgramShares;
+pub use retry_budget::RetryBudget;
 pub use router::{Router, RoutingPolicy, SheddingPolicy};
-pub use shares::ProgramShares;
-pub use view::EndpointView;
 
 #[cfg(test)]
 mod tests;
