--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -17,15 +17,15 @@
     loads.iter().enumerate().map(view).collect()
 }
 
-struct Calls {
+struct TestRouter {
     router: Router,
     target: ModelName,
 }
 
-impl Calls {
-    fn new() -> Calls {
+impl TestRouter {
+    fn new() -> TestRouter {
         let router = Router::new(RoutingPolicy::CacheAffinity, 1);
-        Calls { router, target: ModelName::parse("small").unwrap() }
+        TestRouter { router, target: ModelName::parse("small").unwrap() }
     }
 
     fn place(
@@ -52,81 +52,86 @@
 }
 
 #[test]
-fn a_program_stays_where_its_cache_is_until_that_endpoint_is_far_above_the_others() {
-    let mut calls = Calls::new();
-    let first = calls.place(0, "w:p", (true, false), &[0, 0, 0]).unwrap();
+fn a_program_stays_on_its_endpoint_until_the_load_there_is_far_above_the_mean() {
+    let mut router = TestRouter::new();
+    let first = router.place(0, "w:p", (true, false), &[0, 0, 0]).unwrap();
     let index: usize = first[1..].parse().unwrap();
     let mut loads = [2, 2, 2];
     loads[index] = 5;
-    assert_eq!(calls.place(10, "w:p", (false, false), &loads).unwrap(), first);
+    assert_eq!(router.place(10, "w:p", (false, false), &loads).unwrap(), first);
     loads[index] = 20;
-    assert_ne!(calls.place(20, "w:p", (false, false), &loads).unwrap(), first);
+    assert_ne!(router.place(20, "w:p", (false, false), &loads).unwrap(), first);
 }
 
-/// One endpoint has just reported that it is idle, and reports lag. A burst must not all go
-/// there: what was dispatched since the report counts as its load.
+/// One endpoint has reported that it is idle and does not report again during a burst. Dispatches
+/// since the report must count as its load, or the whole burst would go to it.
 #[test]
-fn no_herd_runs_to_an_endpoint_that_was_idle_when_it_reported() {
-    let mut calls = Calls::new();
-    let places = (0..12).map(|n| calls.place(1, &format!("w:p{n}"), (false, false), &[3, 3, 0]));
-    let on_idle = places.filter(|place| place.as_ref().unwrap() == "m2").count();
-    assert!((3..=7).contains(&on_idle), "{on_idle} of 12");
+fn a_burst_is_not_all_sent_to_an_endpoint_last_reported_as_idle() {
+    let mut router = TestRouter::new();
+    let placements =
+        (0..12).map(|n| router.place(1, &format!("w:p{n}"), (false, false), &[3, 3, 0]));
+    let on_idle_endpoint = placements.filter(|place| place.as_ref().unwrap() == "m2").count();
+    assert!((3..=7).contains(&on_idle_endpoint), "{on_idle_endpoint} of 12");
 }
 
-/// Several entries, with different loads in view, place a suspected call: all at one endpoint.
+/// Entries that see different loads must place a suspect call on the same endpoint, or one engine
+/// could crash for each entry.
 #[test]
-fn every_entry_places_a_suspect_at_the_same_endpoint() {
+fn entries_with_different_reports_place_a_suspect_call_on_the_same_endpoint() {
     let loads = [[0, 5, 9], [9, 0, 5], [5, 9, 0]];
-    let places = loads.map(|loads| Calls::new().place(0, "w:p", (true, true), &loads).unwrap());
-    assert!(places.iter().all(|place| *place == places[0]), "{places:?}");
+    let placements =
+        loads.map(|loads| TestRouter::new().place(0, "w:p", (true, true), &loads).unwrap());
+    assert!(placements.iter().all(|place| *place == placements[0]), "{placements:?}");
 }
 
-/// The endpoints are nearly full and one workspace has begun many programs lately. Its next one
-/// is refused; one of another workspace and a call of a program under way are not.
+/// The endpoints are nearly full and one workspace has started many programs recently. Its next
+/// program must be refused, but neither a program of another workspace nor a call of a running one.
 #[test]
-fn when_it_gets_tight_greedy_workspaces_are_turned_away_first() {
-    let mut calls = Calls::new();
+fn near_capacity_workspaces_above_their_share_are_refused_first() {
+    let mut router = TestRouter::new();
     for number in 0..8 {
-        calls.place(number, &format!("greedy:p{number}"), (true, false), &[0, 0]).unwrap();
+        router.place(number, &format!("greedy:p{number}"), (true, false), &[0, 0]).unwrap();
     }
-    calls.place(9, "other:p", (true, false), &[0, 0]).unwrap();
-    let tight = [7, 7];
+    router.place(9, "other:p", (true, false), &[0, 0]).unwrap();
+    let nearly_full_loads = [7, 7];
     let later = 2_000;
-    let greedy = calls.place(later, "greedy:new", (true, false), &tight);
-    assert_eq!(greedy, Err(PlaceRefusal::Overloaded));
-    assert!(calls.place(later, "other:new", (true, false), &tight).is_ok());
-    assert!(calls.place(later, "greedy:p1", (false, false), &tight).is_ok());
-    let full = [40, 40];
+    let refused = router.place(later, "greedy:new", (true, false), &nearly_full_loads);
+    assert_eq!(refused, Err(PlaceRefusal::Overloaded));
+    assert!(router.place(later, "other:new", (true, false), &nearly_full_loads).is_ok());
+    assert!(router.place(later, "greedy:p1", (false, false), &nearly_full_loads).is_ok());
+    let overloaded_loads = [40, 40];
     assert_eq!(
-        calls.place(later, "greedy:p1", (false, false), &full),
+        router.place(later, "greedy:p1", (false, false), &overloaded_loads),
         Err(PlaceRefusal::Overloaded)
     );
 }
 
 #[test]
-fn without_endpoints_there_is_no_place() {
-    let mut calls = Calls::new();
-    assert_eq!(calls.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
-    let blind = Router::new(RoutingPolicy::Random, 1).with_shedding(SheddingPolicy::None);
-    calls.router = blind;
-    assert_eq!(calls.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
+fn placement_without_endpoints_is_refused() {
+    let mut router = TestRouter::new();
+    assert_eq!(router.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
+    let without_shedding =
+        Router::new(RoutingPolicy::Random, 1).with_shedding(SheddingPolicy::None);
+    router.router = without_shedding;
+    assert_eq!(router.place(0, "w:p", (true, false), &[]), Err(PlaceRefusal::NoEndpoint));
 }
 
 #[test]
-fn shares_are_by_weight_and_forgotten_with_time() {
+fn program_counts_are_weighted_and_decay() {
     let mut shares = ProgramShares::default();
-    let (large, small) = (WorkspaceId::parse("l").unwrap(), WorkspaceId::parse("s").unwrap());
-    (0..9).for_each(|at| shares.let_in(TimeMs(at), &large, 10));
-    (0..2).for_each(|at| shares.let_in(TimeMs(at), &small, 1));
-    assert!(!shares.is_above_share(TimeMs(10), &large));
-    assert!(shares.is_above_share(TimeMs(10), &small));
-    assert!(!shares.is_above_share(TimeMs(600_000), &small));
+    let (large_weight, small_weight) =
+        (WorkspaceId::parse("l").unwrap(), WorkspaceId::parse("s").unwrap());
+    (0..9).for_each(|at| shares.record_admitted(TimeMs(at), &large_weight, 10));
+    (0..2).for_each(|at| shares.record_admitted(TimeMs(at), &small_weight, 1));
+    assert!(!shares.is_above_share(TimeMs(10), &large_weight));
+    assert!(shares.is_above_share(TimeMs(10), &small_weight));
+    assert!(!shares.is_above_share(TimeMs(600_000), &small_weight));
 }
 
-/// Every attempt fails. A workspace's retries end after what it had saved up, and come back at a
-/// tenth of its successes; another workspace's are its own.
+/// When every attempt fails, a workspace may use only its initial budget of retries. It regains one
+/// for ten successes. Other workspaces have budgets of their own.
 #[test]
-fn retries_are_a_tenth_of_successes() {
+fn retries_are_limited_to_a_tenth_of_successes() {
     let mut budget = RetryBudget::default();
     let (failing, other) = (WorkspaceId::parse("f").unwrap(), WorkspaceId::parse("o").unwrap());
     assert_eq!((0..100).filter(|_| budget.try_acquire(&failing)).count(), 10);
