--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -96,7 +96,7 @@
         }
         let waiting = SchedulingKey {
             workspace: job.program.workspace.clone(),
-            since: TimeMs(now),
+            queued_at: TimeMs(now),
             attained_tokens: job.attained,
             cost_tokens: job.prompt / 4 + job.answer,
         };
@@ -146,7 +146,7 @@
                 return;
             };
             let (job, waiting) = self.queue.remove(index);
-            self.order.started(&waiting);
+            self.order.record_start(&waiting);
             let cached = self.hold(&job.program, job.prompt + job.answer).min(job.history);
             self.history += job.history;
             self.recomputed += job.history - cached;
--- a/src/admission/borrower.rs
+++ b/src/admission/borrower.rs
@@ -44,14 +44,15 @@
 /// Below this rate of use each call requests a loan of its own: unused calls that many entries hold
 /// in advance are not available at the entry that receives the next call.
 pub const MIN_CALLS_TO_PREFETCH: u64 = 16;
-/// Shortest counting period; it ends with the first request after this time.
-const COUNTING_PERIOD_MS: u64 = 100;
+/// Minimum duration of a counting period; the period ends with the first loan request after this
+/// time.
+const MIN_COUNTING_PERIOD_MS: u64 = 100;
 /// Duration of a loan that includes calls borrowed in advance.
 const PREFETCH_LOAN_MS: u64 = 1_000;
 /// Duration of a loan that is used at once by the calls that wait for it.
 ///
-/// It is short because the lender has to count the calls as unused until the loan expires. A reply
-/// that arrives after this time is useless.
+/// It is short because the lender has to count the calls against the burst until the loan expires,
+/// even if they are used at once. A reply that arrives after this time is useless.
 const ON_DEMAND_LOAN_MS: u64 = 60;
 /// Time without a reply after which a request counts as lost and another one may be sent.
 const REQUEST_TIMEOUT_MS: u64 = 400;
@@ -100,7 +101,7 @@
             share.unused_calls = 0;
         }
         let elapsed_ms = share.period_started_at.map_or(u64::MAX, |since| now.since(since));
-        if elapsed_ms >= COUNTING_PERIOD_MS {
+        if elapsed_ms >= MIN_COUNTING_PERIOD_MS {
             share.period_started_at = Some(now);
             share.used_last_period = std::mem::take(&mut share.used_this_period);
         }
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Whether a share is nearly used up, so that a request sent now saves the next call a wait.
+    /// Whether the share of a workspace in steady use is nearly used up, so that a request sent now
+    /// saves the next call a wait.
     pub fn should_prefetch(&self, workspace: &WorkspaceId) -> bool {
         self.shares.get(workspace).is_some_and(|share| {
             share.used_last_period >= self.min_calls_to_prefetch
--- a/src/admission/lender.rs
+++ b/src/admission/lender.rs
@@ -64,7 +64,7 @@
     pub calls: u64,
     /// How long these and the calls already held may be used, counted from the request.
     pub for_ms: u64,
-    /// Time until a call can be lent, if none could be.
+    /// Time after which to send another request, if no call could be lent.
     pub wait_ms: u64,
 }
 
@@ -100,8 +100,8 @@
         Lender { times, lends_from, workspaces: HashMap::new(), starts_full: false }
     }
 
-    /// Creates the first lender of a shard. No calls can have been lent or used before, so that it
-    /// lends at once and starts with full buckets.
+    /// Creates the first lender of a shard. No calls can have been lent or used before, so it lends
+    /// at once and starts with full buckets.
     pub fn first(times: LendingTimes, claimed: TimeMs) -> Lender {
         Lender { times, lends_from: claimed, workspaces: HashMap::new(), starts_full: true }
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Admission control: enforces the rate and burst of each workspace across all entries.
+//! Admission control: enforces the rate and burst of each workspace across all entries of
+//! [`crate::entry`]. The gateway's counterpart is [`crate::quota`].
 //!
 //! Each workspace is hashed to a shard. The entry that owns the shard holds the workspace's token
 //! bucket and lends calls from it. Every entry, the lender included, admits only calls that it has
--- a/src/admission/static_split.rs
+++ b/src/admission/static_split.rs
@@ -4,10 +4,12 @@
 use crate::contracts::Contract;
 use crate::prelude::*;
 
-/// Splits each workspace's rate and burst equally between the entries; used as a baseline.
+/// Splits each workspace's rate and burst equally between the entries; used as a baseline for
+/// comparison.
 ///
-/// It never exceeds the contract, but if a load balancer sends more calls to one entry than to the
-/// others, that entry refuses calls that the contract allows.
+/// It does not exceed the contract, except that each entry admits a burst of at least one call. If
+/// a load balancer sends more calls to one entry than to the others, that entry refuses calls that
+/// the contract allows.
 #[derive(Default)]
 pub struct StaticSplit {
     buckets: HashMap<WorkspaceId, TokenBucket>,
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -22,10 +22,14 @@
 /// Borrowing entries, successive lenders, and the requests and replies in flight between them.
 struct Simulation {
     now: u64,
+    /// Each borrower with the speed of its clock, in thousandths of real time.
     borrowers: Vec<(Borrower, u64)>,
     lenders: Vec<LenderState>,
+    /// Requests in flight, with the indexes of borrower and lender.
     requests: Vec<(usize, usize, BorrowRequest)>,
+    /// Replies in flight, with the index of the borrower and the request.
     replies: Vec<(usize, BorrowRequest, Loan)>,
+    /// Times at which calls were admitted.
     admitted: Vec<u64>,
 }
 
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -54,7 +54,7 @@
         taken
     }
 
-    /// Returns calls that were taken but not used.
+    /// Puts back calls that were taken but not used.
     pub fn refund(&mut self, calls: u64) {
         self.level_milli =
             (self.level_milli + calls * MILLIS_PER_CALL).min(self.burst * MILLIS_PER_CALL);
--- a/src/catalog/route.rs
+++ b/src/catalog/route.rs
@@ -58,7 +58,7 @@
     pub attempts: u32,
     /// Whether the proxy stores the history of turns and prepends it to the next turn.
     pub keeps_history: bool,
-    /// Time after their last use for which histories and the accounts of programs are kept.
+    /// Time after their last use for which histories and token accounts of programs are kept.
     pub retention_ms: u64,
     /// Whether an endpoint is faster at requests about an object that it has recently handled.
     pub sticky: bool,
--- a/src/endpoint/backend.rs
+++ b/src/endpoint/backend.rs
@@ -20,7 +20,7 @@
 const MAX_EVENT_BYTES: usize = 1 << 20;
 /// Maximum length of a service's response body.
 const MAX_REPLY_BYTES: usize = 1 << 20;
-/// Stands for the engine's run if the engine does not answer the health check.
+/// Run number that is assumed if the engine does not answer the health check.
 const UNKNOWN_ENGINE_RUN: u64 = 0;
 
 /// Client for the endpoint beside this process: a model engine or a plain service.
@@ -162,8 +162,8 @@
         }
     }
 
-    /// The failure of an attempt whose stream broke: a crash if the engine's run has changed since,
-    /// otherwise an interruption of the stream alone.
+    /// The failure of an attempt whose stream broke: a crash if the engine's run has changed since
+    /// the attempt started, otherwise an interruption of the stream alone.
     async fn stream_failure(&self, run_before: u64, tokens: u64) -> AttemptFrame {
         let cause = match self.engine_run().await == run_before {
             true => FailureCause::Interrupted,
@@ -199,7 +199,7 @@
 }
 
 impl CompletionReader {
-    /// Reads the engine's stream to its end; `None` if the stream breaks before that.
+    /// Reads the engine's stream to its end; `None` if it breaks before that or is malformed.
     async fn read_stream(
         &mut self,
         body: Incoming,
--- a/src/endpoint/finished.rs
+++ b/src/endpoint/finished.rs
@@ -30,9 +30,9 @@
 
 /// Approximate memory for one stored result, apart from its text.
 const RESULT_OVERHEAD_BYTES: usize = 160;
-/// Maximum number of denied attempts kept. The query to which an owner gets the answer "never seen"
-/// also fences the shard's earlier owners, so old denials protect against nothing that the fence
-/// does not.
+/// Maximum number of denied attempts kept; when it is reached, all are forgotten. The query to
+/// which an owner gets the answer "never seen" also fences the shard's earlier owners, so old
+/// denials protect against nothing that the fence does not.
 const MAX_DENIED: usize = 65_536;
 
 impl FinishedAttempts {
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,5 @@
-//! The process beside an endpoint: fences, queues and runs attempts, and frees the engine's cache.
+//! The process beside an endpoint, which is a model engine or a service. It rejects attempts from
+//! replaced owners, queues and runs the others, and frees conversations in the engine's cache.
 
 mod backend;
 mod finished;
--- a/src/endpoint/order.rs
+++ b/src/endpoint/order.rs
@@ -22,7 +22,7 @@
     /// Workspace of the attempt's program.
     pub workspace: WorkspaceId,
     /// When the attempt was queued.
-    pub since: TimeMs,
+    pub queued_at: TimeMs,
     /// Tokens that the attempt's program has used so far.
     pub attained_tokens: u64,
     /// Estimated cost of the attempt, in tokens.
@@ -56,19 +56,19 @@
         let first = |key: &dyn Fn(&SchedulingKey) -> (u64, u64, TimeMs)| {
             indexed.clone().min_by_key(|(_, q)| key(q)).map(|(index, _)| index)
         };
-        let overdue = queued.iter().any(|q| now.since(q.since) >= MAX_WAIT_MS);
+        let overdue = queued.iter().any(|q| now.since(q.queued_at) >= MAX_WAIT_MS);
         match self.policy {
-            OrderPolicy::Fifo => first(&|q| (0, 0, q.since)),
-            _ if overdue => first(&|q| (0, 0, q.since)),
-            OrderPolicy::FairShare => first(&|q| (self.service_of(q), 0, q.since)),
+            OrderPolicy::Fifo => first(&|q| (0, 0, q.queued_at)),
+            _ if overdue => first(&|q| (0, 0, q.queued_at)),
+            OrderPolicy::FairShare => first(&|q| (self.service_of(q), 0, q.queued_at)),
             OrderPolicy::FairThenAttained => {
-                first(&|q| (self.service_of(q), q.attained_tokens, q.since))
+                first(&|q| (self.service_of(q), q.attained_tokens, q.queued_at))
             }
         }
     }
 
     /// Adds the cost of an attempt that starts to the service of its workspace.
-    pub fn started(&mut self, attempt: &SchedulingKey) {
+    pub fn record_start(&mut self, attempt: &SchedulingKey) {
         let service = self.service_of(attempt);
         self.level = self.level.max(service);
         self.served.insert(attempt.workspace.clone(), service + attempt.cost_tokens.max(1));
--- a/src/endpoint/process.rs
+++ b/src/endpoint/process.rs
@@ -20,15 +20,16 @@
 use crate::telemetry::Metrics;
 use crate::time::Clock;
 
-/// Memory for the results of ended attempts: a part of the 32 MB that a node may use for control.
+/// Memory for the results of ended attempts: a part of the 32 MB that the control plane may use on
+/// a node.
 const FINISHED_BYTES: usize = 8 << 20;
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long an endpoint may take to stop an attempt before the attempt counts as interrupted.
 const STOP_GRACE: Duration = Duration::from_secs(2);
 
 /// How long a rejected call waits for the end of the same call of another program.
 const SAME_CALL_TIMEOUT_MS: u64 = 3_000;
-const SAME_CALL_POLL: Duration = Duration::from_millis(5);
+const SAME_CALL_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Accepts attempts for an endpoint, runs them as the scheduler decides, and sends their frames to
 /// the submitters. Shared by the tasks of the process.
@@ -41,42 +42,48 @@
     stop_senders: Mutex<HashMap<AttemptId, watch::Sender<bool>>>,
 }
 
-/// Runs the process until it is told to stop and has drained.
+/// Runs the process until a shutdown is requested and the drain has finished or timed out.
 pub async fn run(settings: EndpointSettings, metrics: Metrics) -> Result<(), DaemonError> {
     let mut shutdown = Shutdown::install()?;
     let instance = Instance::random();
-    let me = EndpointRef { vm: settings.process.vm.clone(), instance };
-    let dispatcher = Arc::new(Dispatcher::new(me, settings.clone()));
+    let this_endpoint = EndpointRef { vm: settings.process.vm.clone(), instance };
+    let dispatcher = Arc::new(Dispatcher::new(this_endpoint, settings.clone()));
     let request_handler = dispatcher.clone();
     let peer_listen = settings.process.peer_listen;
-    let peers = serve(peer_listen, ServerLimits::default(), move |request| {
+    let peer_server = serve(peer_listen, ServerLimits::default(), move |request| {
         server::handle(request_handler.clone(), request)
     })
     .await?;
     let control_handler = dispatcher.clone();
-    let control_listen = SocketAddr::new(peers.address.ip(), 0);
-    let links = LinkServer::bind(control_listen, move |request| {
+    let control_listen = SocketAddr::new(peer_server.address.ip(), 0);
+    let control_server = LinkServer::bind(control_listen, move |request| {
         let reply = control_handler.handle_control(request);
         async move { reply }
     })
     .await?;
     let admin = Admin::bind(settings.process.admin_listen, metrics).await?;
-    let socket = UdpSocket::bind(peers.address).await?;
-    let pulse = Pulse::new(&settings.process, instance, peers.address, links.address, socket);
+    let socket = UdpSocket::bind(peer_server.address).await?;
+    let pulse = Pulse::new(
+        &settings.process,
+        instance,
+        peer_server.address,
+        control_server.address,
+        socket,
+    );
     dispatcher.adopt_cache().await;
-    admin.announce("endpoint", &settings.process.vm, &[("peer", peers.address)]);
+    admin.announce("endpoint", &settings.process.vm, &[("peer", peer_server.address)]);
     let status_source = dispatcher.clone();
     admin.report(move || status_source.status());
     admin.set_ready(true);
     let heartbeat_sender = dispatcher.clone();
     let heartbeat_task = tokio::spawn(async move { heartbeat_sender.send_heartbeats(pulse).await });
-    let tick_task = tokio::spawn(dispatcher.clone().tick());
+    let tick_task = tokio::spawn(dispatcher.clone().schedule_periodically());
     shutdown.requested().await;
     log::info!("draining");
     admin.set_ready(false);
     dispatcher.scheduler.lock().expect("no holder panics").drain();
     dispatcher.wait_idle(Duration::from_millis(settings.process.drain_timeout_ms)).await;
-    peers.shut_down().await;
+    peer_server.shut_down().await;
     heartbeat_task.abort();
     tick_task.abort();
     log::info!("stopped");
@@ -88,7 +95,7 @@
 }
 
 impl Dispatcher {
-    fn new(me: EndpointRef, settings: EndpointSettings) -> Dispatcher {
+    fn new(this_endpoint: EndpointRef, settings: EndpointSettings) -> Dispatcher {
         let limits = SchedulerLimits {
             concurrency: settings.concurrency as usize,
             queue: settings.queue as usize,
@@ -96,7 +103,11 @@
             finished_bytes: FINISHED_BYTES,
         };
         Dispatcher {
-            scheduler: Mutex::new(AttemptScheduler::new(me, limits, OrderPolicy::FairThenAttained)),
+            scheduler: Mutex::new(AttemptScheduler::new(
+                this_endpoint,
+                limits,
+                OrderPolicy::FairThenAttained,
+            )),
             backend: Backend::open(Client::open(), settings.backend),
             clock: Clock::start(),
             settings,
@@ -233,7 +244,7 @@
         while self.scheduler().mark_engine_rejected(id)
             && self.clock.now().since(started) < SAME_CALL_TIMEOUT_MS
         {
-            tokio::time::sleep(SAME_CALL_POLL).await;
+            tokio::time::sleep(SAME_CALL_POLL_INTERVAL).await;
         }
     }
 
@@ -285,9 +296,10 @@
         }
     }
 
-    async fn tick(self: Arc<Dispatcher>) {
+    /// Runs the scheduler once per [`TICK_INTERVAL`]. Never returns.
+    async fn schedule_periodically(self: Arc<Dispatcher>) {
         loop {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             self.schedule();
         }
     }
@@ -315,7 +327,7 @@
     async fn wait_idle(&self, timeout: Duration) {
         let idle = async {
             while !self.scheduler().is_idle() {
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(TICK_INTERVAL).await;
             }
         };
         if tokio::time::timeout(timeout, idle).await.is_err() {
--- a/src/endpoint/scheduler.rs
+++ b/src/endpoint/scheduler.rs
@@ -8,12 +8,13 @@
 
 /// Average bytes of text per token, for cost estimates.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Maximum number of calls remembered as crashing the engine.
+/// Maximum number of calls remembered as crashing the engine; when it is reached, all are
+/// forgotten.
 const MAX_CRASH_SUSPECTS: usize = 10_000;
 /// Estimated cost of a service call, in tokens.
 const SERVICE_COST_TOKENS: u64 = 50;
 
-/// Limits of a [`AttemptScheduler`].
+/// Limits of an [`AttemptScheduler`].
 #[value]
 #[derive(Copy)]
 pub struct SchedulerLimits {
@@ -39,7 +40,7 @@
     Duplicate,
 }
 
-/// An effect that the caller of a [`AttemptScheduler`] must carry out.
+/// An effect that the caller of an [`AttemptScheduler`] must carry out.
 #[value]
 pub enum SchedulerAction {
     /// Run an attempt on the endpoint.
@@ -59,7 +60,7 @@
     is_model: bool,
     /// Suspected of crashing engines, so that no other attempt may run beside it.
     alone: bool,
-    stopped: bool,
+    stop_requested: bool,
     /// The engine rejected it before starting it.
     engine_rejected: bool,
 }
@@ -79,10 +80,10 @@
     scheduling_key: SchedulingKey,
 }
 
-/// State machine of the process beside an endpoint: accepts, queues, starts and fences attempts. It
-/// does no I/O.
+/// State machine of the process beside an endpoint: accepts, queues and starts attempts, and
+/// rejects those of replaced owners. It does no I/O.
 pub struct AttemptScheduler {
-    me: EndpointRef,
+    this_endpoint: EndpointRef,
     limits: SchedulerLimits,
     /// The lowest epoch that is still accepted for each shard.
     fences: HashMap<ShardId, Epoch>,
@@ -97,10 +98,14 @@
 }
 
 impl AttemptScheduler {
-    /// Creates the state of one process instance, `me`.
-    pub fn new(me: EndpointRef, limits: SchedulerLimits, policy: OrderPolicy) -> AttemptScheduler {
+    /// Creates the scheduler of the process instance that `this_endpoint` names.
+    pub fn new(
+        this_endpoint: EndpointRef,
+        limits: SchedulerLimits,
+        policy: OrderPolicy,
+    ) -> AttemptScheduler {
         AttemptScheduler {
-            me,
+            this_endpoint,
             limits,
             fences: HashMap::new(),
             queue: Vec::new(),
@@ -145,7 +150,7 @@
     /// that it knew were lost with it.
     pub fn submit(&mut self, now: TimeMs, attempt: Attempt) -> Submission {
         let id = attempt.id;
-        if attempt.target != self.me {
+        if attempt.target != self.this_endpoint {
             return Submission::Rejected;
         }
         if self.is_pending(id) || self.finished.lookup(id) != FinishedLookup::NeverSeen {
@@ -169,7 +174,7 @@
     /// the shard. An attempt that was never seen is rejected from now on, so that the report stays
     /// true.
     pub fn query(&mut self, attempt: AttemptId, instance: Instance, epoch: Epoch) -> AttemptReport {
-        if instance != self.me.instance {
+        if instance != self.this_endpoint.instance {
             return AttemptReport::Forgotten;
         }
         let fence = self.fences.entry(attempt.shard).or_default();
@@ -194,8 +199,8 @@
             return vec![self.end_unstarted(attempt, FailureCause::Cancelled)];
         }
         match self.running.get_mut(&attempt) {
-            Some(running) if running.is_model && !running.stopped => {
-                running.stopped = true;
+            Some(running) if running.is_model && !running.stop_requested => {
+                running.stop_requested = true;
                 vec![SchedulerAction::Stop(attempt)]
             }
             _ => Vec::new(),
@@ -206,8 +211,8 @@
     /// there for another program; if so, the caller waits for its end.
     ///
     /// That other call may just have crashed the engine, which is why this one was rejected. If the
-    /// owner were told only "rejected", it would send a call that may crash engines on to the next
-    /// one.
+    /// owner were told only "rejected", it would not suspect the call, and would run it on the next
+    /// engine beside other calls.
     pub fn mark_engine_rejected(&mut self, attempt: AttemptId) -> bool {
         let Some(running) = self.running.get_mut(&attempt) else {
             return false;
@@ -296,8 +301,9 @@
         self.leases.len()
     }
 
-    /// Starts the queued attempts that can run now, ends or stops those past their deadline, and
-    /// frees conversations whose lease has expired.
+    /// Ends or stops attempts past their deadline, ends queued calls known to crash the engine,
+    /// frees conversations whose lease has expired, and starts the queued attempts that can run
+    /// now.
     pub fn schedule(&mut self, now: TimeMs) -> Vec<SchedulerAction> {
         let mut actions = self.expire(now);
         while let Some(attempt) = self.pop_next(now) {
@@ -311,6 +317,8 @@
         queued || self.running.contains_key(&attempt)
     }
 
+    /// Ends or stops attempts past their deadline, ends queued calls known to crash the engine, and
+    /// frees conversations whose lease has expired unless an attempt is using them.
     fn expire(&mut self, now: TimeMs) -> Vec<SchedulerAction> {
         let late: Vec<AttemptId> =
             self.queue.iter().filter(|q| q.deadline <= now).map(|q| q.attempt.id).collect();
@@ -319,8 +327,8 @@
             late.into_iter().map(|id| self.end_unstarted(id, FailureCause::Expired)).collect();
         actions.extend(self.end_crash_suspects());
         for (id, running) in &mut self.running {
-            if running.deadline <= now && !running.stopped {
-                running.stopped = true;
+            if running.deadline <= now && !running.stop_requested {
+                running.stop_requested = true;
                 actions.push(SchedulerAction::Stop(*id));
             }
         }
@@ -343,9 +351,9 @@
             let known = self.crash_suspects.get(&key)?;
             (known.alone || !attempt.alone).then_some((attempt.id, known.run))
         };
-        let known: Vec<(AttemptId, u64)> = self.queue.iter().filter_map(crash_of).collect();
-        self.queue.retain(|queued| known.iter().all(|(id, _)| *id != queued.attempt.id));
-        known
+        let to_end: Vec<(AttemptId, u64)> = self.queue.iter().filter_map(crash_of).collect();
+        self.queue.retain(|queued| to_end.iter().all(|(id, _)| *id != queued.attempt.id));
+        to_end
             .into_iter()
             .map(|(id, run)| self.end_unstarted(id, FailureCause::Crashed { run }))
             .collect()
@@ -357,7 +365,7 @@
         SchedulerAction::End(attempt, final_frame)
     }
 
-    /// Takes the next attempt that can start from the queue.
+    /// Takes from the queue the next attempt that can start.
     ///
     /// A call suspected of crashing the engine runs alone: it starts only on an idle engine, and
     /// nothing starts beside it. Otherwise a crash would end unrelated calls too, and each of them
@@ -374,7 +382,7 @@
             return None;
         }
         let queued = self.queue.remove(index);
-        self.order.started(&queued.scheduling_key);
+        self.order.record_start(&queued.scheduling_key);
         let attempt = queued.attempt;
         let is_model = matches!(attempt.work, AttemptWork::Model { .. });
         if is_model {
@@ -386,7 +394,7 @@
             deadline: queued.deadline,
             is_model,
             alone: attempt.alone,
-            stopped: false,
+            stop_requested: false,
             engine_rejected: false,
         };
         self.running.insert(attempt.id, running);
@@ -399,8 +407,8 @@
     program.to_string().into()
 }
 
-/// The properties that decide when an attempt is started. Tokens of the prompt count a quarter of
-/// generated ones.
+/// The properties that decide when an attempt is started. A token of the prompt counts as a
+/// quarter of a generated one.
 fn scheduling_key(now: TimeMs, attempt: &Attempt) -> SchedulingKey {
     let cost_tokens = match &attempt.work {
         AttemptWork::Model { messages, max_tokens, .. } => {
@@ -411,7 +419,7 @@
     };
     SchedulingKey {
         workspace: attempt.program.workspace.clone(),
-        since: now,
+        queued_at: now,
         attained_tokens: attempt.attained_tokens,
         cost_tokens,
     }
--- a/src/endpoint/tests.rs
+++ b/src/endpoint/tests.rs
@@ -7,21 +7,21 @@
     Attempt, AttemptFrame, AttemptReport, AttemptWork, FailureCause, TurnResult,
 };
 
-fn me() -> EndpointRef {
+fn this_endpoint() -> EndpointRef {
     EndpointRef { vm: VmName::parse("m0").unwrap(), instance: Instance(7) }
 }
 
 fn scheduler() -> AttemptScheduler {
     let limits =
         SchedulerLimits { concurrency: 2, queue: 8, cache_lease_ms: 1_000, finished_bytes: 10_000 };
-    AttemptScheduler::new(me(), limits, OrderPolicy::FairThenAttained)
+    AttemptScheduler::new(this_endpoint(), limits, OrderPolicy::FairThenAttained)
 }
 
 fn attempt(epoch: u64, sequence: u64) -> Attempt {
     let workspace = WorkspaceId::parse("w").unwrap();
     Attempt {
         id: AttemptId { shard: ShardId(1), epoch: Epoch(epoch), sequence },
-        target: me(),
+        target: this_endpoint(),
         program: ProgramId::parse(workspace, &format!("p{sequence}")).unwrap(),
         turn: TurnNo(1),
         digest: Digest::of(&[&sequence.to_le_bytes()]),
@@ -59,7 +59,7 @@
     assert_eq!(scheduler.query(queried, Instance(7), Epoch(6)), AttemptReport::NeverSeen);
     assert_eq!(scheduler.submit(TimeMs(0), attempt(5, 1)), Submission::Rejected);
     assert_eq!(scheduler.submit(TimeMs(0), attempt(6, 1)), Submission::Accepted);
-    let target = EndpointRef { instance: Instance(6), ..me() };
+    let target = EndpointRef { instance: Instance(6), ..this_endpoint() };
     let earlier = Attempt { target, ..attempt(6, 2) };
     assert_eq!(scheduler.submit(TimeMs(0), earlier), Submission::Rejected);
     assert_eq!(scheduler.query(queried, Instance(6), Epoch(6)), AttemptReport::Forgotten);
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -14,7 +14,7 @@
 /// Token limit of a completion request that sets none.
 const DEFAULT_MAX_TOKENS: u32 = 1_024;
 
-/// A chat completion request in the format of existing clients.
+/// A chat completion request in the OpenAI format, which existing clients use.
 #[derive(Debug, Deserialize)]
 pub(super) struct ChatRequest {
     model: String,
@@ -56,7 +56,7 @@
 pub enum ApiErrorCode {
     /// The path or method is unknown.
     NoSuchCall,
-    /// The API key is missing or belongs to no workspace.
+    /// The API key is missing, or belongs to no workspace with a contract.
     BadKey,
     /// The headers, the path or the body are malformed.
     BadRequest,
@@ -69,7 +69,7 @@
     /// The workspace's rate or burst is used up.
     RateLimited,
     /// This entry is not ready, its configuration is stale, or it could not reach the entry that
-    /// grants the workspace's rate.
+    /// lends the workspace's rate.
     NotReady,
     /// The API key was revoked while the call ran.
     KeyWithdrawn,
@@ -214,7 +214,7 @@
     }
 }
 
-/// A complete chat completion in the format of existing clients.
+/// A complete chat completion in the OpenAI format, which existing clients use.
 #[derive(Serialize)]
 pub(super) struct Completion<'a> {
     id: String,
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -8,7 +8,8 @@
 use crate::membership::RoleStatus;
 use crate::prelude::*;
 
-/// The log stream that holds the configuration; operators publish changes to it.
+/// The log stream that holds the configuration. Operators publish changes to it; entries append
+/// the crashes that they observed, and snapshots.
 pub const CONFIG_STREAM: &str = "config";
 /// Upper bound for the time that a read waits for new records.
 const MAX_READ_WAIT_MS: u64 = 500;
@@ -106,8 +107,8 @@
         return;
     };
     if page.at_end() {
-        // Records accepted after the read was sent may be missing from it, so the configuration
-        // counts as confirmed at that time, not at the time of the answer.
+        // Records accepted after the read was sent may be missing from its result, so the
+        // configuration counts as confirmed at that time, not at the time of the answer.
         entry.config_stream_status().read_at = Some(sent_at);
     }
     update_uncovered_since(&mut entry.config_stream_status(), page);
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -15,7 +15,7 @@
 /// Interval at which every shard owner of this entry gets a tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Minimum time between two shards that are released for balance.
+/// Minimum time between two releases of shards for balance.
 const REBALANCE_INTERVAL_MS: u64 = 500;
 
 /// A message to the core task.
@@ -31,7 +31,7 @@
     /// Append a record to the configuration stream, which all entries read.
     Publish(ConfigRecord),
     /// Confirm with the log that this entry still owns a shard, or claim the shard if this entry
-    /// is the one to own it.
+    /// should own it.
     ConfirmOwnership { shard: ShardId },
     /// Release every shard.
     ReleaseAll,
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -18,7 +18,7 @@
 
 /// Path on which entries accept turns for their shards from other entries.
 pub(super) const TURNS_PATH: &str = "/turns";
-/// Path on which entries accept the end of programs of their shards from other entries.
+/// Path on which entries accept requests to end programs of their shards from other entries.
 pub(super) const ENDS_PATH: &str = "/ends";
 
 /// Maximum size of one reply from another entry.
@@ -37,7 +37,7 @@
     End { program: ProgramId, deadline: TimeMs },
 }
 
-/// The outcome of one attempt to forward a call to the owner.
+/// The outcome of forwarding a call to the owner once.
 enum RelayOutcome {
     /// The final reply was passed on, or the caller has gone.
     Finished,
@@ -58,6 +58,8 @@
     entry: Arc<Entry>,
     call: Call,
     replies: mpsc::UnboundedSender<Reply>,
+    /// Whether a reply was passed on to the caller. After that, a call of unknown outcome is not
+    /// sent again.
     delivered: bool,
 }
 
@@ -93,12 +95,12 @@
         let mut backoff_ms = INITIAL_BACKOFF_MS;
         loop {
             let shard = self.call.program().shard(self.entry.settings.shards);
-            let relay = match self.entry.locate(shard) {
+            let outcome = match self.entry.locate(shard) {
                 ShardLocation::Local => self.relay_local().await,
                 ShardLocation::Remote(vm, address) => self.relay_remote(&vm, address).await,
             };
             let may_repeat = !self.delivered && self.call.is_repeat_detected();
-            match relay {
+            match outcome {
                 RelayOutcome::Finished => return,
                 RelayOutcome::OutcomeUnknown if !may_repeat => {
                     return self.refuse(self.owner_lost_refusal());
@@ -107,7 +109,7 @@
             }
             let retry_at = self.entry.clock.now().plus(backoff_ms);
             if retry_at >= self.call.deadline() {
-                let refusal = match relay {
+                let refusal = match outcome {
                     RelayOutcome::NotRun => Refusal::not_run(RefusalReason::NotOwner),
                     RelayOutcome::OutcomeUnknown | RelayOutcome::Finished => {
                         return self.refuse(self.owner_lost_refusal());
@@ -151,8 +153,8 @@
             match reply {
                 None => return RelayOutcome::OutcomeUnknown,
                 Some(reply) => {
-                    if let Some(relay) = self.pass_reply(reply) {
-                        return relay;
+                    if let Some(outcome) = self.pass_reply(reply) {
+                        return outcome;
                     }
                 }
             }
@@ -173,15 +175,15 @@
         (is_final || is_closed).then_some(RelayOutcome::Finished)
     }
 
-    /// Forwards the call to another entry. A frozen owner keeps its connections open without ever
-    /// answering, so the call stops waiting once that entry is considered dead or another entry
-    /// owns the shard.
+    /// Forwards the call to another entry. A paused owner keeps its connections open but does not
+    /// answer, so the call stops waiting once that entry is considered dead or another entry owns
+    /// the shard.
     async fn relay_remote(&mut self, vm: &VmName, address: SocketAddr) -> RelayOutcome {
         let entry = self.entry.clone();
         let shard = self.call.program().shard(entry.settings.shards);
         let deadline = self.call.deadline();
         tokio::select! {
-            relay = self.send_to_owner(vm, address) => relay,
+            outcome = self.send_to_owner(vm, address) => outcome,
             () = until_not_owner(&entry, shard, vm, deadline) => RelayOutcome::OutcomeUnknown,
         }
     }
@@ -219,8 +221,8 @@
             else {
                 return RelayOutcome::OutcomeUnknown;
             };
-            if let Some(relay) = self.pass_reply(reply) {
-                return relay;
+            if let Some(outcome) = self.pass_reply(reply) {
+                return outcome;
             }
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry, the proxy node of the daemon: serves callers, and owns shards of programs.
+//! The entry: the role of the daemon that serves callers and owns shards of programs.
 
 mod api;
 mod callers;
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -26,7 +26,7 @@
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Handles a request from another process of the system.
+/// Handles a request from another process of the cluster.
 pub(super) async fn handle(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::POST, TURNS_PATH) => handle_turn(entry, request).await,
--- a/src/entry/rates.rs
+++ b/src/entry/rates.rs
@@ -17,8 +17,9 @@
 use crate::programs::Predecessor;
 
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a call waits for a lender. While a new owner takes a shard over there is none, and
-/// calls of a workspace within its rate should not be refused for that.
+/// How long a call waits for a lender, unless the settings let it wait up to its deadline. While a
+/// new owner takes a shard over, the shard has no lender, and calls of a workspace within its rate
+/// should not be refused for that.
 const MAX_LENDER_WAIT_MS: u64 = 6_000;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How many times a lender tries to have its ownership confirmed before it declines a request.
@@ -83,7 +84,7 @@
             let admission = self.borrower().admit(now, workspace);
             match admission {
                 AdmissionDecision::Admitted => {
-                    self.borrow_early(workspace);
+                    self.prefetch_loan(workspace);
                     return Ok(());
                 }
                 AdmissionDecision::Refused { wait_ms } => {
@@ -107,7 +108,7 @@
     }
 
     /// Borrows more in the background when the local share runs low, so that no call has to wait.
-    fn borrow_early(self: &Arc<Entry>, workspace: &WorkspaceId) {
+    fn prefetch_loan(self: &Arc<Entry>, workspace: &WorkspaceId) {
         let mut borrower = self.borrower();
         if !borrower.should_prefetch(workspace) {
             return;
--- a/src/entry/responses.rs
+++ b/src/entry/responses.rs
@@ -32,6 +32,7 @@
     book: watch::Receiver<Arc<Book>>,
     program: ProgramId,
     target: ModelName,
+    /// Kind of the call, for metrics: model or service.
     class: &'static str,
     started: TimeMs,
     first_token_recorded: bool,
@@ -120,12 +121,12 @@
     fn event_stream(mut self, first: Reply, mut replies: mpsc::UnboundedReceiver<Reply>) -> Body {
         streamed(async_stream::stream! {
             let mut reply = Ok(first);
-            let mut streamed = String::new();
+            let mut sent_text = String::new();
             loop {
                 match reply {
                     Ok(Reply::Delta { text }) => {
                         self.record_first_token();
-                        streamed.push_str(&text);
+                        sent_text.push_str(&text);
                         yield Ok(event(&chunk(&self.program, self.target.as_str(), &text)));
                     }
                     Ok(Reply::Answer {
@@ -133,7 +134,9 @@
                         result: TurnResult::Answered { text, finish, usage },
                         ..
                     }) => {
-                        let Some(rest) = text.strip_prefix(streamed.as_str()) else {
+                        // The answer can be completed only if it begins with the text that was
+                        // already sent.
+                        let Some(rest) = text.strip_prefix(sent_text.as_str()) else {
                             yield Ok(error_event(&outcome_unknown()));
                             yield Err(abort_error().await);
                             return;
@@ -162,7 +165,8 @@
         })
     }
 
-    /// The next reply, or an error if the caller's key is revoked before it comes.
+    /// The next reply. Returns an error if the call is refused, if the replies end, or if the
+    /// caller's key is revoked before the next reply comes.
     async fn next_reply(
         &mut self,
         replies: &mut mpsc::UnboundedReceiver<Reply>,
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -36,6 +36,7 @@
     pub links: LinkPool,
     pub log: LogClient,
     pub commands: mpsc::UnboundedSender<Command>,
+    /// The configuration in force.
     pub book: watch::Sender<Arc<Book>>,
     config_stream_status: Mutex<ConfigStreamStatus>,
     peers: Mutex<PeerTable>,
@@ -44,7 +45,7 @@
     retry_budget: Mutex<RetryBudget>,
     pacer: Mutex<Pacer>,
     owned_shards: Mutex<HashMap<ShardId, OwnedShard>>,
-    unrecorded_crashes: Mutex<CrashesByCall>,
+    local_crashes: Mutex<CrashesByCall>,
     borrower: Mutex<Borrower>,
     lenders: Mutex<Lenders>,
     ready: AtomicBool,
@@ -54,7 +55,7 @@
     leaving: watch::Sender<bool>,
 }
 
-/// How this entry owns a shard.
+/// A shard that this entry owns.
 #[value]
 #[derive(Copy)]
 pub(super) struct OwnedShard {
@@ -109,7 +110,7 @@
             retry_budget: Mutex::default(),
             pacer: Mutex::new(Pacer::new(settings.appends_per_s)),
             owned_shards: Mutex::default(),
-            unrecorded_crashes: Mutex::default(),
+            local_crashes: Mutex::default(),
             borrower: Mutex::new(Borrower::new(instance, MIN_CALLS_TO_PREFETCH)),
             lenders: Mutex::default(),
             ready: AtomicBool::new(false),
@@ -217,7 +218,7 @@
     /// Whether a call is suspected or known to crash engines, by the crashes in the log and by
     /// those that only this entry knows of yet.
     pub fn crash_status(&self, workspace: &WorkspaceId, digest: &Digest) -> CrashStatus {
-        let local_crashes = lock(&self.unrecorded_crashes);
+        let local_crashes = lock(&self.local_crashes);
         let crashes =
             local_crashes.get(&(workspace.clone(), *digest)).map_or(&[][..], Vec::as_slice);
         self.book.borrow().crash_status(workspace, digest, crashes)
@@ -240,16 +241,16 @@
 
     /// VMs whose engine crashed while it ran the call.
     pub fn crashed_vms(&self, workspace: &WorkspaceId, digest: &Digest) -> Vec<VmName> {
-        let local_crashes = lock(&self.unrecorded_crashes);
-        let unrecorded = local_crashes.get(&(workspace.clone(), *digest)).into_iter().flatten();
+        let local_crashes = lock(&self.local_crashes);
+        let local = local_crashes.get(&(workspace.clone(), *digest)).into_iter().flatten();
         let book = self.book.borrow();
         let recorded = book.crashes(workspace, digest).iter();
-        recorded.chain(unrecorded).map(|crash| crash.vm.clone()).collect()
+        recorded.chain(local).map(|crash| crash.vm.clone()).collect()
     }
 
     /// Stores a crash locally, so that it counts before the log holds it.
     pub fn add_local_crash(&self, workspace: &WorkspaceId, digest: &Digest, crash: Crash) {
-        let mut local_crashes = lock(&self.unrecorded_crashes);
+        let mut local_crashes = lock(&self.local_crashes);
         let crashes = local_crashes.entry((workspace.clone(), *digest)).or_default();
         if !crashes.contains(&crash) {
             crashes.push(crash);
@@ -268,9 +269,10 @@
         alive && !replaced
     }
 
-    /// Removes the local crashes of a call: the log holds them by now, or the call was cleared.
+    /// Removes the local crashes of a call: the log holds them by now, or the call was cleared
+    /// of the suspicion that it crashes engines.
     pub fn remove_local_crashes(&self, workspace: &WorkspaceId, digest: &Digest) {
-        lock(&self.unrecorded_crashes).remove(&(workspace.clone(), *digest));
+        lock(&self.local_crashes).remove(&(workspace.clone(), *digest));
     }
 
     /// The entry that a shard's calls go to: its owner if one is known, else the preferred one.
--- a/src/entry/tasks.rs
+++ b/src/entry/tasks.rs
@@ -23,8 +23,8 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 const MAX_PUBLISH_ATTEMPTS: usize = 600;
-/// How long a final reply waits for crash records to be appended. If the log is unavailable for
-/// longer, the reply is sent without them.
+/// How long the refusal of a call that crashes engines waits for crash records to be appended. If
+/// the log is unavailable for longer, the refusal is sent without them.
 const MAX_RECORD_WAIT_MS: u64 = 1_000;
 const RECORD_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -186,7 +186,7 @@
     match recorded {
         Some(offset) => remove_once_applied(&entry, &record, offset).await,
         None => log::error!(
-            "giving up on a crash record after {MAX_PUBLISH_ATTEMPTS} failed appends to the log"
+            "giving up on a configuration record after {MAX_PUBLISH_ATTEMPTS} failed appends"
         ),
     }
 }
@@ -216,10 +216,10 @@
     let _ = replies.send(reply);
 }
 
-async fn remove_once_applied(entry: &Entry, record: &ConfigRecord, recorded: Offset) {
+async fn remove_once_applied(entry: &Entry, record: &ConfigRecord, offset: Offset) {
     let mut book = entry.book.subscribe();
-    let in_force = book.wait_for(|book| book.through() >= recorded).await.is_ok();
-    if let (true, ConfigRecord::Suspect { workspace, digest, .. }) = (in_force, record) {
+    let is_applied = book.wait_for(|book| book.through() >= offset).await.is_ok();
+    if let (true, ConfigRecord::Suspect { workspace, digest, .. }) = (is_applied, record) {
         entry.remove_local_crashes(workspace, digest);
     }
 }
--- a/src/entry/turn_message.rs
+++ b/src/entry/turn_message.rs
@@ -24,7 +24,8 @@
 }
 
 impl TurnMessage {
-    /// The request as the owner runs it, with the deadline on its own clock, where it is `now`.
+    /// The request as the owner runs it. `now` is the time on the owner's clock, by which the
+    /// request's deadline is set.
     pub fn into_request(self, now: TimeMs) -> TurnRequest {
         TurnRequest {
             program: self.program,
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -27,7 +27,7 @@
 /// Upper bound of the program length for which rate is reserved, whatever the caller states.
 const MAX_PROGRAM_MS: u64 = 3_600_000;
 
-/// An admitted request.
+/// The admission of a request, which can be refunded.
 pub(super) struct Admission {
     /// The request's workspace; none if no key is required.
     pub(super) workspace: Option<Arc<Workspace>>,
@@ -105,8 +105,9 @@
     }
 }
 
-/// Whether a request begins a program, which reserves rate for the program's whole length, or
-/// belongs to one in progress or to none.
+/// Whether a request begins a program, and so reserves rate for the program's whole length, or is
+/// charged alone. The first turn of a program reserves only if it states when the program should be
+/// finished.
 fn claim_of(gateway: &Gateway, request_head: &RequestHead, route: &Route) -> Claim {
     if request_head.max_output_tokens == 0 || !gateway.is_enabled(Mechanism::ProgramAdmission) {
         return Claim::Continues;
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -32,7 +32,7 @@
 }
 
 /// An endpoint counts as silent after this many times the route's target latency without a byte. A
-/// loaded engine takes up to about twice the target.
+/// loaded endpoint takes up to about twice the target.
 const SILENCE_TARGET_FACTOR: u64 = 3;
 
 /// Lower bound for the time until an endpoint counts as silent: twice the delay caused by a lost
@@ -41,7 +41,7 @@
 
 /// Extra wait before an endpoint is judged silent. Its response may have arrived while this process
 /// was paused; a busy process takes this long to read everything that is queued.
-const PROCESS_PAUSE_MS: u64 = 30;
+const READ_BACKLOG_MS: u64 = 30;
 
 /// Counts a request as in flight at an endpoint until dropped, and holds the connection.
 pub(super) struct InFlightGuard {
@@ -158,11 +158,13 @@
     Responded(Box<EndpointResponse>),
     /// The endpoint states that it has not run the request.
     NotRun,
-    /// Nothing was sent: by now, the endpoint may not be sent any requests, or no further ones.
+    /// Nothing was sent: since the endpoint was chosen, it was removed, its failure domain was
+    /// evacuated, or this entry's limit for it while it is cold was used up.
     Withheld,
     /// Nothing was sent: the connection failed, the deadline has passed, or the endpoint is gone.
     NeverSent {
-        /// A pooled connection failed; the endpoint itself may be healthy.
+        /// Whether the connection that failed came from the pool; the endpoint itself may then be
+        /// healthy.
         stale_connection: bool,
     },
     /// The request was sent and the endpoint did not respond in time. It may have run.
@@ -237,15 +239,16 @@
     }
 }
 
-/// Waits for a response. A silent endpoint is counted as failed while the request is still waiting.
-/// A request that may be repeated then gives up (returns none); any other waits on.
+/// Waits for a response. When it does not arrive in time, the endpoint is counted as failed unless
+/// it is busy. A request that may be repeated then gives up on it (returns [`None`]), even if it is
+/// busy; any other request waits on.
 async fn wait_for_response<T>(
     in_flight: &InFlightGuard,
     response: impl Future<Output = T>,
     may_repeat: bool,
 ) -> Option<T> {
     let mut response = std::pin::pin!(response);
-    for wait_ms in [in_flight.silent_after_ms, PROCESS_PAUSE_MS] {
+    for wait_ms in [in_flight.silent_after_ms, READ_BACKLOG_MS] {
         tokio::select! {
             biased;
             response = response.as_mut() => return Some(response),
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -10,7 +10,8 @@
 /// nothing, but a request must not try all endpoints one after the other.
 const MAX_UNRUN_ATTEMPTS: u32 = 3;
 
-/// Retry delay if no endpoint accepts the request now: about two mean running times.
+/// Retry delay if no endpoint accepts the request now: about twice the mean running time of a
+/// request.
 const NO_ENDPOINT_RETRY_MS: u64 = 150;
 
 /// Retry delay if all endpoints are in evacuated failure domains. An operator needs at least
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -49,8 +49,11 @@
 /// Why an endpoint's response did not reach its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
+    /// The connection failed, or the response ended within an event or without any.
     Broken,
+    /// The endpoint sent nothing for too long.
     Silent,
+    /// The request's deadline has passed.
     TimedOut,
 }
 
@@ -74,7 +77,8 @@
 }
 
 impl EventStream {
-    /// Sends the request. Returns the head of the response, and what follows it.
+    /// Sends the request, and tries another endpoint if one responds with status 500. Returns the
+    /// head of the response, and what follows it.
     pub(super) async fn open(
         gateway: &Rc<Gateway>,
         endpoint_request: &Rc<EndpointRequest>,
--- a/src/gateway/find_turn.rs
+++ b/src/gateway/find_turn.rs
@@ -19,8 +19,9 @@
 /// Path at which an entry answers turn lookups of its peers.
 pub(super) const FIND_TURN_PATH: &str = "/find-turn";
 
-/// Time limit for a lookup at another entry. That entry confirms its epochs with the store, which
-/// takes about 10 ms, or 250 ms when the store is slow.
+/// Time limit for a lookup at another entry. That entry first confirms with the store that its
+/// epochs are current, i.e. that it still owns its shards, which takes about 10 ms, or 250 ms when
+/// the store is slow.
 const PEER_LOOKUP_TIMEOUT_MS: u64 = 600;
 
 /// Time limit for confirming the epoch of one shard. The store may be unavailable for some shards
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -23,7 +23,7 @@
 /// Carries the [`RoutingDecision`] of a forwarded turn, encoded with postcard and then as hex.
 pub(super) const ROUTING_HEADER: &str = "x-trefoil-order";
 
-/// Limit for the body of a request sent between entries: the size of a record in the store.
+/// Limit for the body of a request sent between entries: the maximum size of a record in the store.
 pub(super) const MAX_FORWARDED_BYTES: usize = 4 << 20;
 
 /// Marks a request that was relayed because the sending entry's configuration is stale. The value
@@ -87,8 +87,8 @@
 
 /// Finds the owner of a shard and, if that is another entry, forwards the turn to it.
 ///
-/// A turn is forwarded to a further owner only while the previous one has certainly not accepted
-/// it. If a connection breaks after the request was sent, the outcome is unknown.
+/// If an owner has certainly not accepted the turn, the owner is looked up again and the turn is
+/// sent to the new one. If a connection breaks after the request was sent, the outcome is unknown.
 pub(super) async fn forward_to_owner(
     gateway: &Rc<Gateway>,
     shard: u32,
@@ -148,7 +148,7 @@
 /// it is alive after all, the later epochs of the new owners fence its writes.
 async fn deregister_dead_entry(gateway: &Gateway, address: std::net::SocketAddr) {
     let deregisters = gateway.is_enabled(Mechanism::PeerDeregistration);
-    if deregisters && gateway.peers.borrow_mut().deregister(address).is_some() {
+    if deregisters && gateway.peers.borrow_mut().mark_deregistered(address).is_some() {
         deregister(gateway, address).await;
     }
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -26,23 +26,23 @@
 /// core. With more entries, each sends less often and also admits fewer requests in between.
 const MESSAGES_PER_S: u64 = 150;
 
-/// Longest interval between two messages: an entry not heard for half a second counts as out of
-/// touch.
+/// Longest interval between two messages: an entry not heard from for half a second counts as out
+/// of touch.
 const MAX_GOSSIP_INTERVAL_MS: u64 = 200;
 
 /// The largest datagram in bytes: what a link carries in one frame.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// The most rows of each list in one message, so that it fits into a datagram. The rows of longer
-/// lists take turns.
+/// The most rows in one message of each list that is limited, so that the message fits into a
+/// datagram. Longer lists are spread over several messages.
 const MAX_ROWS: usize = 50;
 
 /// Shortest pause between two messages, also if one is due at once: changes within it go out in one
 /// message. It is ten times the latency between two entries.
 const MIN_GOSSIP_PAUSE_MS: u64 = 20;
 
-/// How long after the last update of its crashes a suspected poison request is included in
-/// messages.
+/// How long a suspected poison request is included in messages after the last update of its crash
+/// count.
 const SUSPECT_GOSSIP_MS: u64 = 5_000;
 
 /// Pause before a failed read of the list of entries is retried. The list matters only to an entry
@@ -132,7 +132,8 @@
     (others * 1_000 / MESSAGES_PER_S).clamp(GOSSIP_INTERVAL_MS, MAX_GOSSIP_INTERVAL_MS)
 }
 
-/// Builds the message of this round, with at most `rows` rows in each list.
+/// Builds the message of this round, with at most `rows` rows in each list. The owned shards and
+/// the evacuated domains are always sent completely.
 fn compose(gateway: &Gateway, instance: u64, round: usize, rows: usize) -> GossipMessage {
     let owned = gateway.shards.all_owned();
     let serving = owned.iter().filter(|shard| shard.stage() == Stage::Serving);
@@ -159,7 +160,11 @@
             as_of: directory.evacuations().as_of(),
             domains: directory.evacuations().domains().clone(),
         },
-        taken: rotating_slice(gateway.rates.borrow_mut().rows_to_send(now, selection), round, rows),
+        admitted: rotating_slice(
+            gateway.rates.borrow_mut().rows_to_send(now, selection),
+            round,
+            rows,
+        ),
         suspects: rotating_slice(
             gateway.suspects.borrow().recent(now, SUSPECT_GOSSIP_MS),
             round,
@@ -215,7 +220,7 @@
     }
 }
 
-/// Applies a message to all that this entry keeps about the others.
+/// Updates what this entry knows of the others from a message of one of them.
 pub(super) fn apply_message(gateway: &Rc<Gateway>, from: SocketAddr, gossip: &GossipMessage) {
     let now = gateway.now();
     let outcome = gateway.peers.borrow_mut().record_message(now, from, gossip);
@@ -226,7 +231,7 @@
     }
     for (shard, epoch) in &gossip.shards {
         gateway.shards.update_remote_owner(*shard, Owner { address: from, epoch: *epoch });
-        release_fenced_shard(gateway, *shard, *epoch);
+        give_up_fenced_shard(gateway, *shard, *epoch);
     }
     let renews_early = gateway.is_enabled(Mechanism::FastReassignment);
     if renews_early && gossip.generation > gateway.shards.generation() {
@@ -238,11 +243,11 @@
         && !gossip.shards.is_empty()
         && gateway.reachability.is_stable(now)
     {
-        deregister_unreachable(gateway, from);
+        deregister_cut_off_entry(gateway, from);
     }
     let sender_age =
         SenderAge { since: outcome.first_heard_at, recently_started: gossip.recently_started };
-    gateway.rates.borrow_mut().apply_remote(now, gossip.instance, &gossip.taken, sender_age);
+    gateway.rates.borrow_mut().apply_remote(now, gossip.instance, &gossip.admitted, sender_age);
     let mut suspects = gateway.suspects.borrow_mut();
     gossip.suspects.iter().for_each(|(request, crashes)| suspects.merge(now, *request, *crashes));
     let mut directory = gateway.directory.borrow_mut();
@@ -263,10 +268,10 @@
     }
 }
 
-/// Gives up a shard that another entry serves under a later epoch, as the store has fenced this
-/// one. An entry that is cut off from the store learns so only by gossip; without it, it would go
-/// on running turns that it can't record.
-fn release_fenced_shard(gateway: &Gateway, shard: u32, epoch: u64) {
+/// Gives up a shard that another entry serves under a later epoch: the store rejects this entry's
+/// appends. An entry that is cut off from the store learns this only by gossip, and would otherwise
+/// go on running turns that it can't record.
+fn give_up_fenced_shard(gateway: &Gateway, shard: u32, epoch: u64) {
     if let Some(owned) = gateway.shards.owned(shard).filter(|owned| owned.epoch < epoch) {
         log::info!(shard, epoch = owned.epoch, later = epoch;
             "another entry owns the shard under a later epoch; giving it up");
@@ -276,7 +281,7 @@
 
 /// Deregisters an entry that owns shards but can't reach the store, while this one can. Its shards
 /// are then reassigned at once instead of when its membership expires.
-fn deregister_unreachable(gateway: &Rc<Gateway>, address: SocketAddr) {
+fn deregister_cut_off_entry(gateway: &Rc<Gateway>, address: SocketAddr) {
     let now = gateway.now();
     if gateway.peers.borrow_mut().should_deregister(now, address, gateway.settings.peers) {
         let gateway = gateway.clone();
--- a/src/gateway/handoff.rs
+++ b/src/gateway/handoff.rs
@@ -27,7 +27,7 @@
 
 /// Time limit of one handoff request. The other entry appends the turn to the store, which takes
 /// about 10 ms, and 250 ms when the store is slow.
-const MAX_ANSWER_WAIT_MS: u64 = 600;
+const HANDOFF_TIMEOUT_MS: u64 = 600;
 
 /// Pause between two checks for the next owner.
 const OWNER_POLL_MS: u64 = 20;
@@ -40,7 +40,7 @@
 pub(super) struct TurnHandoff {
     /// The turn with its input and output; none if its history is not kept.
     pub(super) turn: Option<(TurnKey, Turn)>,
-    /// The account of the turn's program.
+    /// The turn's program, whose account is charged.
     pub(super) program: ProgramKey,
     /// The token budget of the whole program.
     pub(super) budget: u64,
@@ -73,7 +73,7 @@
         let owner = gateway.shards.remote_owner(shard);
         if let Some(owner) = owner.filter(|owner| gateway.may_forward_to(owner.address, regions)) {
             let answer = send(gateway, owner.address, body.clone());
-            match timeout(Duration::from_millis(MAX_ANSWER_WAIT_MS), answer).await {
+            match timeout(Duration::from_millis(HANDOFF_TIMEOUT_MS), answer).await {
                 Ok(Some(StatusCode::OK)) => return true,
                 Ok(Some(StatusCode::CONFLICT)) => return false,
                 Ok(Some(_)) => gateway.shards.forget_owner(owner.address, Some(shard)),
@@ -114,7 +114,8 @@
         if parent.is_some_and(|parent| ledger.turn(parent).is_none()) {
             return false;
         }
-        // The previous owner's append may have succeeded although it got no answer.
+        // The previous owner's append may have succeeded although it got no answer. An empty append
+        // then only confirms that this process still owns the shard.
         let already_recorded =
             handoff.turn.as_ref().is_some_and(|(key, _)| ledger.turn(*key).is_some());
         if already_recorded { Some(Vec::new()) } else { records_to_append(&mut ledger, handoff) }
--- a/src/gateway/membership.rs
+++ b/src/gateway/membership.rs
@@ -34,14 +34,14 @@
 const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
 /// The number of epochs reserved for each generation, one for each time that this process takes a
-/// shard within it.
+/// shard within it. Epochs of a later generation are thus always greater.
 const EPOCHS_PER_GENERATION: u64 = 1 << 16;
 
 /// What an assignment has changed here.
 enum AssignmentChange {
     Unchanged,
     Changed,
-    /// Shards were released; the store should learn so at once.
+    /// Shards were released; the store should learn of it at once.
     Released,
 }
 
@@ -62,7 +62,8 @@
     ///
     /// While the store is unreachable, no renewals are sent: if only the answers are lost, a member
     /// that keeps renewing would be assigned shards that it doesn't know of and nobody serves. The
-    /// calls that read the feeds detect when the store is reachable again.
+    /// calls that read the operator's instructions and the list of endpoints detect when the store
+    /// is reachable again.
     ///
     /// The member is named after the VM. An earlier process instance may still be a member under
     /// the same name; leaving first frees its shards at once, which otherwise stay unserved until
@@ -119,7 +120,7 @@
     /// Applies an assignment.
     ///
     /// A shard that moves to another member is assigned to it only once this member has confirmed
-    /// the new generation, so that turns in flight can finish first.
+    /// the new generation with its next renewal, so that turns in flight can finish first.
     async fn apply_assignment(&self, assignment: Assignment) -> AssignmentChange {
         if assignment.generation == self.gateway.shards.generation() {
             self.take_assigned(&assignment);
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Takes over the assigned shards that are not owned yet. Each time gets a new epoch, also if a
-    /// shard is lost and taken again within one generation.
+    /// Takes over the assigned shards that are not owned yet. Each takeover gets a new epoch, also
+    /// if a shard is lost and taken again within one generation.
     fn take_assigned(&self, assignment: &Assignment) {
         for number in &assignment.shards {
             if self.gateway.shards.owned(*number).is_none() {
@@ -168,7 +169,7 @@
     }
 }
 
-/// Releases shards once their turns in flight have finished, or the time limit is over.
+/// Releases shards once their turns in flight have finished, or after [`MAX_RELEASE_MS`].
 async fn release_shards(gateway: &Gateway, to_release: &[Rc<OwnedShard>]) {
     to_release.iter().for_each(|shard| shard.set_stage(Stage::Draining));
     let started = gateway.now();
@@ -182,7 +183,7 @@
 
 /// Takes over a shard, then serves it until it is lost.
 async fn serve_shard(gateway: Rc<Gateway>, shard: Rc<OwnedShard>) {
-    if let Err(fault) = load(&gateway, &shard).await {
+    if let Err(fault) = fence_and_load(&gateway, &shard).await {
         log::warn!(shard = shard.number, epoch = shard.epoch, fault:display;
             "taking over a shard failed; giving it up");
         return end_ownership(&gateway, &shard);
@@ -199,7 +200,7 @@
 
 /// Fences the previous owner by appending under the new epoch, then reads the shard's records.
 /// Since nobody else can write in the meantime, the pages are consistent with each other.
-async fn load(gateway: &Gateway, shard: &OwnedShard) -> Result<(), StoreError> {
+async fn fence_and_load(gateway: &Gateway, shard: &OwnedShard) -> Result<(), StoreError> {
     let claim =
         Append { shard: shard.number, epoch: shard.epoch, sequence: 0, records: Vec::new() };
     retry(shard, || gateway.store.append(&claim)).await?;
--- a/src/gateway/message.rs
+++ b/src/gateway/message.rs
@@ -26,7 +26,7 @@
     /// The number of requests that the sender has running, by the hash of the endpoint.
     pub(super) running: Vec<(u64, u32)>,
     /// What the sender has admitted, by workspace.
-    pub(super) taken: Vec<WorkspaceUsage>,
+    pub(super) admitted: Vec<WorkspaceUsage>,
     /// Endpoints that have failed recently: hash of the endpoint, failures, successful answers.
     pub(super) answers: Vec<(u64, u32, u32)>,
     /// The evacuated failure domains, as far as the sender knows.
@@ -35,8 +35,8 @@
     pub(super) suspects: Vec<(u64, u32)>,
 }
 
-/// Limits a list to `max_rows` rows, choosing the next ones in each round so that all get their
-/// turn.
+/// Limits a list to `max_rows` rows, and selects the next ones in each round until all were
+/// selected.
 pub(super) fn rotating_slice<T>(mut rows: Vec<T>, round: usize, max_rows: usize) -> Vec<T> {
     if rows.len() > max_rows {
         let start = (round * max_rows) % rows.len();
@@ -62,7 +62,7 @@
     /// The hash of the workspace's name.
     pub(super) workspace: u64,
     /// All that the process instance has admitted since its start.
-    pub(super) taken: UsageTotals,
+    pub(super) admitted: UsageTotals,
     /// The number of requests that all entries together have admitted within the current window, if
     /// the sender knows it. Only sent while another entry has just started.
     pub(super) in_window: Option<u64>,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,9 +1,13 @@
 //! The entry for endpoints that accept requests themselves: it authenticates, admits and places
 //! each request, and calls the endpoint directly, without a sidecar process.
 //!
-//! Everything runs on one thread. Durable state, and the ownership of the programs' shards, is kept
-//! in a store that the operator runs. [`Store`] is the interface to it; [`Protocol`] is the
-//! interface to the headers and answers that callers and endpoints use.
+//! A program is a chain of dependent requests. Each program belongs to a shard, and each shard is
+//! owned by one entry, which keeps the histories and token budgets of the shard's programs. A
+//! request that needs one of them is a turn, and is served by that owner.
+//!
+//! Everything runs on one thread. Durable state and the ownership of shards are kept in a store
+//! that the operator runs. [`Store`] is the interface to it; [`Protocol`] is the interface to the
+//! headers and responses that callers and endpoints use.
 
 mod admit;
 mod attempt;
--- a/src/gateway/observe.rs
+++ b/src/gateway/observe.rs
@@ -32,7 +32,8 @@
     pub(super) target_ms: u64,
 }
 
-/// Logs and counts an answered request; `took_ms` runs from its arrival to the head of its answer.
+/// Logs and counts an answered request; `took_ms` is the time from its arrival to the head of its
+/// response.
 pub(super) fn record_answered(
     head: &RequestHead,
     summary: &RequestSummary,
--- a/src/gateway/owned_shard.rs
+++ b/src/gateway/owned_shard.rs
@@ -20,6 +20,7 @@
 /// A shard that this process owns, or has owned, under one epoch.
 pub(super) struct OwnedShard {
     pub(super) number: u32,
+    /// Fencing number of the appends: the store rejects them once it has seen a later epoch.
     pub(super) epoch: u64,
     pub(super) ledger: RefCell<Ledger>,
     pub(super) writer: Writer,
@@ -39,7 +40,6 @@
         })
     }
 
-    /// The current stage.
     pub(super) fn stage(&self) -> Stage {
         self.stage.get()
     }
@@ -51,7 +51,6 @@
         }
     }
 
-    /// The number of turns in flight.
     pub(super) fn turns_in_flight(&self) -> u32 {
         self.turns_in_flight.get()
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -35,18 +35,19 @@
     region: Option<Arc<str>>,
     /// The id of its process instance; zero before the first message.
     instance: u64,
-    /// When the last message came; none before the first one, and after it fell silent.
+    /// When the last message came; none before the first one, and once the entry is silent.
     heard_at: Option<TimeMs>,
     /// When the first message of its current process instance came.
     first_heard_at: TimeMs,
-    /// When the entry was added, or the last message came before it fell silent.
+    /// When the entry was added or, once it is silent, when its last message came.
     last_known_at: TimeMs,
     leaving: bool,
     store_unreachable: bool,
     recently_started: bool,
     /// The number of requests that it has running, by endpoint.
     running: HashMap<u64, u32>,
-    /// The process instance that was deregistered because it was unreachable.
+    /// The process instance that was deregistered because it seemed dead: it refused connections,
+    /// or neither accepted a turn nor sent messages.
     deregistered_instance: Option<u64>,
     /// When this entry last deregistered it because it was cut off from the store.
     deregistered_at: Option<TimeMs>,
@@ -157,7 +158,7 @@
 
     /// Whether the store is unreachable for at least half of the entries heard recently. If these
     /// are fewer than half of those known, the answer is `false`: then this entry itself is cut
-    /// off.
+    /// off. If no other entry is known, it is `true`: none could serve the callers instead.
     pub(super) fn store_unreachable_for_most(&self, now: TimeMs) -> bool {
         let alive = self.peers.values().filter(|peer| peer.heard_at.is_some() && !peer.leaving);
         let (mut known, mut heard, mut unreachable) = (0, 0, 0);
@@ -182,15 +183,15 @@
         now: TimeMs,
         is_local_region: impl Fn(Option<&str>) -> bool,
     ) -> Vec<SocketAddr> {
-        let reachable = |peer: &Peer| {
+        let eligible = |peer: &Peer| {
             let recent = peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
             recent
                 && !peer.store_unreachable
                 && !peer.leaving
                 && is_local_region(peer.region.as_deref())
         };
-        let reachable = self.peers.iter().filter(|(_, peer)| reachable(peer));
-        let mut addresses: Vec<_> = reachable.map(|(address, _)| *address).collect();
+        let eligible = self.peers.iter().filter(|(_, peer)| eligible(peer));
+        let mut addresses: Vec<_> = eligible.map(|(address, _)| *address).collect();
         addresses.sort_unstable();
         addresses
     }
@@ -208,20 +209,20 @@
 
     /// Marks the entry's current process instance as deregistered. Returns its name, or `None` if
     /// it was so marked before.
-    pub(super) fn deregister(&mut self, address: SocketAddr) -> Option<Arc<str>> {
+    pub(super) fn mark_deregistered(&mut self, address: SocketAddr) -> Option<Arc<str>> {
         let peer = self.peers.get_mut(&address)?;
         let first = peer.deregistered_instance.replace(peer.instance) != Some(peer.instance);
         first.then(|| peer.name.clone())
     }
 
-    /// The name of an entry.
     pub(super) fn name(&self, address: SocketAddr) -> Option<Arc<str>> {
         self.peers.get(&address).map(|peer| peer.name.clone())
     }
 
-    /// Whether the entry at `own_address` should deregister the one at `address` now. Only a few
-    /// entries do so, different ones for each address: calls from all of them would be a useless
-    /// burst.
+    /// Whether the entry at `own_address` should deregister the one at `address` now, which is cut
+    /// off from the store. If so, records the time, and returns `false` for the next
+    /// [`MIN_DEREGISTRATION_INTERVAL_MS`]. Only a few entries do so, different ones for each
+    /// address: calls from all of them would be a useless burst.
     pub(super) fn should_deregister(
         &mut self,
         now: TimeMs,
@@ -246,14 +247,14 @@
         due
     }
 
-    /// Among how many entries the workspaces' rates are shared now. A deregistered entry gets no
-    /// share.
+    /// How many entries share the workspaces' rates now, and how many of them were heard recently.
+    /// A deregistered entry gets no share.
     pub(super) fn peer_counts(&self, now: TimeMs) -> PeerCounts {
-        let counts = |peer: &&Peer| {
+        let has_share = |peer: &&Peer| {
             peer.instance != 0 && !peer.leaving && peer.deregistered_instance != Some(peer.instance)
         };
         let (mut others, mut heard) = (0, 0);
-        for peer in self.peers.values().filter(counts) {
+        for peer in self.peers.values().filter(has_share) {
             others += 1;
             let recent = peer.heard_at.is_some_and(|at| now.since(at) < HEARD_RECENTLY_MS);
             heard += u32::from(recent);
--- a/src/gateway/ports.rs
+++ b/src/gateway/ports.rs
@@ -30,7 +30,7 @@
     },
     /// The requested records have been deleted.
     Expired,
-    /// The answer can't be decoded.
+    /// The request can't be built, or the answer can't be decoded.
     Unreadable(String),
 }
 
@@ -47,7 +47,7 @@
             }
             StoreError::Expired => f.write_str("the requested records have been deleted"),
             StoreError::Unreadable(fault) => {
-                write!(f, "undecodable answer from the store: {fault}")
+                write!(f, "building a request to the store or decoding its answer failed: {fault}")
             }
         }
     }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -18,7 +18,7 @@
 
 /// Fraction of the grace period (SIGTERM to SIGKILL) during which new requests are still accepted.
 /// The load balancer needs two seconds to notice that this entry is not ready; the rest is left for
-/// the answers in flight.
+/// the responses in flight.
 const ACCEPT_FRACTION: f64 = 0.45;
 
 /// Fraction of the grace period after which the process exits, whatever is still in flight.
@@ -114,7 +114,7 @@
 }
 
 /// Shuts down without losing a request: hands the shards off to other entries, tells callers to go
-/// elsewhere, and finishes the answers in flight.
+/// elsewhere, and finishes the responses in flight.
 async fn drain(gateway: &Rc<Gateway>, membership: &Membership, close: &watch::Sender<bool>) {
     log::info!(running = gateway.running.get(); "shutting down; draining requests in flight");
     let started = gateway.now();
@@ -127,7 +127,7 @@
     tokio::time::sleep(Duration::from_millis(accept_ms.saturating_sub(elapsed_ms(gateway)))).await;
     close.send_replace(true);
     // A request read just before its connection began to close may not be counted as running yet,
-    // and the last bytes of an answer may still be unsent when its count drops to zero. So the
+    // and the last bytes of a response may still be unsent when its count drops to zero. So the
     // process exits only after no request has been in flight for a while.
     let mut idle_ms = 0;
     while idle_ms < IDLE_BEFORE_EXIT_MS && elapsed_ms(gateway) < exit_ms {
--- a/src/gateway/rates.rs
+++ b/src/gateway/rates.rs
@@ -56,7 +56,8 @@
 }
 
 impl RateLimiter {
-    /// Knows no workspace yet. The rates hold over any window of `window_ms`.
+    /// Creates a limiter that knows no workspace yet. The limits hold over any window of
+    /// `window_ms`.
     pub(super) fn open(window_ms: u64) -> RateLimiter {
         RateLimiter { window_ms, windows: HashMap::new(), program_stats: ProgramStats::default() }
     }
@@ -81,8 +82,9 @@
         Ok(grant)
     }
 
-    /// Opens the window of a declared workspace, so that it counts before the first request
-    /// arrives.
+    /// Opens the window of a workspace once a configuration declares it, before the first request
+    /// arrives: a new window is assumed to be full, and other entries' counts are applied only to
+    /// open windows.
     pub(super) fn open_window(&mut self, now: TimeMs, workspace: &Workspace) {
         self.tracked_window(now, workspace);
     }
@@ -130,16 +132,16 @@
     ) -> Vec<WorkspaceUsage> {
         let (mut rows, mut unchanged) = (Vec::new(), Vec::new());
         for (workspace, tracked) in &mut self.windows {
-            let taken = tracked.window.taken();
+            let admitted = tracked.window.admitted();
             let in_window = match selection.include_all {
                 true => tracked.window.in_window(now).map(|used| used.ceil() as u64),
                 false => None,
             };
-            let row = WorkspaceUsage { workspace: *workspace, taken, in_window };
+            let row = WorkspaceUsage { workspace: *workspace, admitted, in_window };
             let is_due =
                 selection.include_all || now.since(tracked.changed_at) < RESEND_CHANGED_FOR_MS;
             match is_due {
-                _ if taken.requests == 0 && in_window.unwrap_or(0) == 0 => {}
+                _ if admitted.requests == 0 && in_window.unwrap_or(0) == 0 => {}
                 true => rows.push(row),
                 false => unchanged.push(row),
             }
@@ -149,7 +151,7 @@
         rows
     }
 
-    /// Applies the counts of another entry's process instance, which run from its start.
+    /// Applies the counts of another entry's process instance, which are totals since its start.
     ///
     /// The first count that arrives for a workspace is added to the window only if it must be
     /// recent: the sender has just started, or this entry has received messages for so long that
@@ -161,10 +163,10 @@
         &mut self,
         now: TimeMs,
         instance: u64,
-        taken: &[WorkspaceUsage],
+        admitted: &[WorkspaceUsage],
         sender: SenderAge,
     ) {
-        for row in taken {
+        for row in admitted {
             let Some(TrackedWindow { window, opened_at, .. }) =
                 self.windows.get_mut(&row.workspace)
             else {
@@ -172,8 +174,8 @@
             };
             let received_for_ms = now.since(sender.since).min(now.since(*opened_at));
             match sender.recently_started || received_for_ms >= FULL_CYCLE_MS {
-                true => window.apply_usage(now, instance, row.taken),
-                false => window.record_baseline(now, instance, row.taken),
+                true => window.apply_usage(now, instance, row.admitted),
+                false => window.record_baseline(now, instance, row.admitted),
             }
             self.program_stats.merge(&window.take_new_stats());
             if let Some(in_window) = row.in_window {
--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -17,14 +17,14 @@
 pub(super) struct StoreReachability {
     failing_since: Cell<Option<TimeMs>>,
     succeeding_since: Cell<Option<TimeMs>>,
-    logged: Cell<bool>,
+    outage_logged: Cell<bool>,
 }
 
 impl StoreReachability {
     /// Records that a call was answered.
     pub(super) fn record_success(&self, now: TimeMs) {
         let failing_since = self.failing_since.take();
-        if self.logged.take() {
+        if self.outage_logged.take() {
             let away_ms = failing_since.map_or(0, |at| now.since(at));
             log::info!(away_ms; "store reachable again");
         }
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Records that a call failed: it got no answer, or was refused.
+    /// Records that a call failed: it got no answer or an undecodable one, or was refused.
     pub(super) fn record_failure(&self, now: TimeMs, fault: &StoreError) {
         if self.failing_since.get().is_none() {
             self.failing_since.set(Some(now));
             self.succeeding_since.set(None);
         }
-        if self.is_unreachable(now) && !self.logged.replace(true) {
+        if self.is_unreachable(now) && !self.outage_logged.replace(true) {
             log::warn!(fault:display;
                 "store unreachable; pausing membership calls until it answers");
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Sends a request to one entry after the other, until one accepts it.
+/// Sends a request to one entry after the other, until one accepts it or [`MAX_ENTRIES_TRIED`] were
+/// tried.
 async fn try_targets(
     gateway: &Rc<Gateway>,
     relay_targets: &[SocketAddr],
--- a/src/gateway/response_body.rs
+++ b/src/gateway/response_body.rs
@@ -7,7 +7,7 @@
 
 use super::state::Running;
 
-/// Error of a response body that ended before its end was confirmed.
+/// Error of a response body that ended before it was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyTruncated;
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -186,8 +186,9 @@
     request_head: &RequestHead,
 ) -> Result<RoutingDecision, Refusal> {
     let program = request_head.program.as_ref().unwrap_or(&request_head.request);
-    let affinity = ProgramKey::of(&route.prefix, program).hash();
-    let service = route.service(affinity).ok_or(Refusal::NoRoute)?;
+    // All requests of a program on this route go to the same service.
+    let program_hash = ProgramKey::of(&route.prefix, program).hash();
+    let service = route.service(program_hash).ok_or(Refusal::NoRoute)?;
     let priority = workspace.and_then(|w| w.priority).unwrap_or(route.priority);
     let repeat = match route.repeat {
         RepeatPolicy::ResumableStream if !mechanisms.is_enabled(Mechanism::Resumption) => {
@@ -212,7 +213,7 @@
     })
 }
 
-/// An admitted request.
+/// An admitted request and the decision how to serve it.
 struct AdmittedRequest<'a> {
     head: request::Parts,
     request_head: &'a RequestHead,
@@ -222,8 +223,8 @@
 }
 
 impl AdmittedRequest<'_> {
-    /// Key under which endpoint crashes caused by this request are counted. It is the same for all
-    /// attempts of the same caller.
+    /// Key under which endpoint crashes caused by this request are counted. It depends only on the
+    /// workspace, path and body, so it stays the same when the caller retries.
     fn crash_key(&self) -> u64 {
         let workspace = self.routing.workspace.as_bytes();
         Digest::of(&[workspace, self.head.uri.path().as_bytes(), &self.body]).prefix()
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -31,7 +31,8 @@
 /// that closes just as a request arrives costs the caller a retry.
 const IDLE_TIMEOUT_MS: u64 = 4_500;
 
-/// Buffer size of a connection: fits the largest request head that configurations allow.
+/// Buffer size of a connection: fits the largest request head that configurations allow, with room
+/// to spare.
 const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Pause after a failed accept, which usually means that file descriptors have run out.
--- a/src/gateway/shard_table.rs
+++ b/src/gateway/shard_table.rs
@@ -22,7 +22,8 @@
     generation: Cell<u64>,
     local: RefCell<HashMap<u32, Rc<OwnedShard>>>,
     remote: RefCell<HashMap<u32, Owner>>,
-    /// Notified when a shard may have a new owner.
+    /// Notified when this process starts to serve a shard or loses one, and when another entry
+    /// claims one.
     pub(super) changed: Notify,
 }
 
@@ -37,7 +38,6 @@
         }
     }
 
-    /// The number of shards.
     pub(super) fn count(&self) -> u32 {
         self.count
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -109,7 +109,6 @@
         self.placement.borrow_mut().choose(now, &self.directory.borrow(), want, connected)
     }
 
-    /// Whether a mechanism is enabled.
     pub(super) fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.mechanisms.is_enabled(mechanism)
     }
@@ -136,7 +135,7 @@
     /// A single lost answer is no evidence of a crash, and counting it would block harmless
     /// requests. An endpoint that has closed its other connections as well, or refuses a new one,
     /// has crashed.
-    pub(super) async fn check_for_crash(&self, job: &EndpointRequest, endpoint: ReplicaKey) {
+    pub(super) async fn check_for_crash(&self, request: &EndpointRequest, endpoint: ReplicaKey) {
         let Some((address, id)) = self.endpoint(endpoint) else {
             return;
         };
@@ -151,10 +150,10 @@
             },
         };
         let crashes = match crashed {
-            true => self.suspects.borrow_mut().record_crash(self.now(), job.crash_key),
+            true => self.suspects.borrow_mut().record_crash(self.now(), request.crash_key),
             false => 0,
         };
-        log::info!(request:% = job.request, endpoint:% = id, crashes;
+        log::info!(request:% = request.request, endpoint:% = id, crashes;
             "an endpoint closed the connection of a request in flight");
         if crashed {
             self.assume_cold(endpoint);
@@ -210,7 +209,8 @@
         Running(self.clone())
     }
 
-    /// Whether the load balancer should send callers here.
+    /// Whether the load balancer should send callers here. It should stop well before the
+    /// configuration is too old to serve API keys.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && self.active_config.is_fresh(self.settings.bounds.revoke_ms * 3 / 5)
     }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -8,12 +8,12 @@
 /// A request that has crashed this many endpoints is not sent to another one.
 const MAX_CRASHES: u32 = 3;
 
-/// How long crashes are remembered after the last update of their number: callers retry such
+/// How long crashes are remembered after the last update of their count: callers retry such
 /// requests for about a minute.
 const CRASH_RETENTION_MS: u64 = 90_000;
 
-/// At this many requests, those that were not updated within a quarter of `CRASH_RETENTION_MS` are
-/// evicted.
+/// If a crash is recorded at this many requests or more, those that were not updated within a
+/// quarter of `CRASH_RETENTION_MS` are evicted.
 const MAX_SUSPECTS: usize = 10_000;
 
 #[derive(Debug, Clone, Copy)]
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -22,7 +22,7 @@
 use crate::quota::{Claim, PeerCounts, UsageTotals};
 use crate::replicas::Topology;
 
-// Two VMs may start in the same millisecond. When both processes had the same instance number, each
+// Two VMs may start in the same millisecond. When both processes had the same instance id, each
 // message of one was taken for an update from the other: the counts of all rates swung between
 // empty and full, and workspaces were admitted far above their limits or refused far below them.
 #[test]
@@ -43,9 +43,9 @@
     assert!(!suspects.is_poison(TimeMs(1), 1));
 }
 
-// An entry that starts while the store is unreachable receives peer messages for seconds before it
-// knows any workspace. The first count that it then gets for a workspace is all that the sender has
-// admitted since its start. Counted as admitted now, it filled every window, and callers were
+// An entry that starts while the store is unreachable receives gossip messages for seconds before
+// it knows any workspace. The first count that it then gets for a workspace is all that the sender
+// has admitted since its start. Counted as admitted now, it filled every window, and callers were
 // refused for five seconds.
 #[test]
 fn counts_received_before_a_workspace_is_known_do_not_fill_its_window() {
@@ -58,10 +58,10 @@
     };
     let mut rates = RateLimiter::open(5_000);
     let sender = SenderAge { since: TimeMs(0), recently_started: false };
-    let row = |taken, in_window| {
+    let row = |admitted, in_window| {
         let workspace = Digest::of(&[b"w"]).prefix();
-        let taken = UsageTotals { requests: taken, ..UsageTotals::default() };
-        vec![WorkspaceUsage { workspace, taken, in_window }]
+        let admitted = UsageTotals { requests: admitted, ..UsageTotals::default() };
+        vec![WorkspaceUsage { workspace, admitted, in_window }]
     };
     rates.apply_remote(TimeMs(3_000), 1, &row(5_000, None), sender);
     rates.open_window(TimeMs(3_100), &workspace);
@@ -166,7 +166,7 @@
         generation: 1,
         shards: vec![],
         running: vec![],
-        taken: vec![],
+        admitted: vec![],
         answers: vec![],
         evacuated: EvacuationState::default(),
         suspects: vec![],
--- a/src/gateway/tests/fakes.rs
+++ b/src/gateway/tests/fakes.rs
@@ -14,8 +14,8 @@
 use crate::mechanisms::Mechanisms;
 use crate::replicas::{EndpointChange, Topology};
 
-/// A store that answers at once, but for the faults that it was made with. The operator's record
-/// can never be read.
+/// A store that answers at once, except for the faults that it is created with. The operator's
+/// instructions can never be read.
 #[derive(Default)]
 pub(super) struct FakeStore {
     endpoint_list_unreadable: bool,
--- a/src/gateway/turn.rs
+++ b/src/gateway/turn.rs
@@ -56,7 +56,11 @@
 
     /// Records that the endpoint now has the prompt in its cache.
     fn record_cached_prompt(&self, gateway: &Gateway, endpoint: ReplicaKey) {
-        gateway.placement.borrow_mut().read(gateway.now(), endpoint, &self.endpoint_request.parts);
+        gateway.placement.borrow_mut().record_prefill(
+            gateway.now(),
+            endpoint,
+            &self.endpoint_request.parts,
+        );
     }
 }
 
@@ -227,7 +231,8 @@
         let Charge { mut reservation, kept_until, .. } = charge;
         let keeps_history = self.turn_request.endpoint_request.routing.keeps_history;
         if !keeps_history && durable {
-            // The durable reservation covers the tokens used; the settlement may be recorded later.
+            // The durable reservation covers the tokens used, so there is no need to wait for the
+            // settlement. It is recorded when the reservation is dropped.
             return Ok(());
         }
         let (gateway, shard, deadline) =
@@ -289,8 +294,10 @@
 /// A turn's tokens, reserved from its program's budget.
 struct Charge {
     reservation: Reservation,
-    /// Completes when the reservation is durable; none if an earlier record already covers it.
+    /// Completes when the reservation and the turns copied from other shards are durable; none if
+    /// an earlier record already covers the reservation and no turns were copied.
     recorded: Option<AppendAck>,
+    /// The version of the program's account that the reservation's record makes durable.
     version: Option<AccountVersion>,
     kept_until: UnixMs,
 }
--- a/src/gateway/wait_until.rs
+++ b/src/gateway/wait_until.rs
@@ -13,8 +13,8 @@
 /// event, and then never receives the retry delay.
 const MAX_WAIT_MS: u64 = 1_500;
 
-/// Fraction of a request's remaining time that the wait may use up. Of the rest, callers accept a
-/// retry delay of at most a third, and the attempt after that needs the remainder.
+/// Fraction of a request's remaining time that the wait may use up. After that, callers accept a
+/// retry delay of at most a third of the time left, and need the remainder for another attempt.
 const WAIT_FRACTION: f64 = 0.4;
 
 /// Waits until `condition` holds, which is checked whenever `changed` is notified. Returns `false`
--- a/src/gateway/writer.rs
+++ b/src/gateway/writer.rs
@@ -11,7 +11,8 @@
 use super::{Append, StoreError};
 use crate::turns::Record;
 
-/// The largest batch in bytes: half of what the store accepts in one call.
+/// The largest batch in bytes: half of what the store accepts in one call. Records queued together
+/// are never split, and form a batch alone if they are larger.
 const MAX_BATCH_BYTES: usize = 1 << 20;
 
 /// Time limit of one append. The store answers within about 6 ms, and within 250 ms when it is
@@ -69,6 +70,7 @@
     }
 }
 
+/// The size of a record in a batch, with room for its framing.
 fn record_bytes(record: &Record) -> usize {
     record.key.len() + record.value.as_ref().map_or(0, Vec::len) + 8
 }
@@ -126,8 +128,8 @@
     }
 }
 
-/// Ends the ownership of a shard under its epoch. Dropping the queued senders tells everyone who
-/// waits for a record.
+/// Ends the ownership of a shard under its epoch. Dropping the queued senders tells those waiting
+/// for a record that this epoch will not confirm it.
 pub(super) fn end_ownership(gateway: &Gateway, shard: &OwnedShard) {
     shard.set_stage(Stage::Lost);
     shard.writer.closed.set(true);
--- a/src/membership/liveness.rs
+++ b/src/membership/liveness.rs
@@ -9,9 +9,10 @@
     HeartbeatLive,
     /// A heartbeat arrived; the peer is leaving.
     HeartbeatLeaving,
-    /// No heartbeat arrived within the suspicion timeout.
+    /// No heartbeat arrived within [`suspect_ms`](super::LivenessTimeouts::suspect_ms).
     SuspectTimeout,
-    /// No heartbeat arrived within the failure timeout, or the peer's address refused a connection.
+    /// No heartbeat arrived within [`dead_ms`](super::LivenessTimeouts::dead_ms), or the peer's
+    /// address refused a connection.
     Failed,
 }
 
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Heartbeats don't bring a leaving peer back; only a new process instance on its VM accepts
-    /// work again.
+    /// Heartbeats don't bring a leaving peer back. Unless it is considered dead in between, only a
+    /// new process instance on its VM accepts work again.
     #[state]
     fn leaving(event: &LivenessEvent) -> Outcome<State> {
         match event {
@@ -56,6 +57,7 @@
         }
     }
 
+    /// A dead peer gets the state that its next heartbeat reports, even if it was leaving before.
     #[state]
     fn dead(event: &LivenessEvent) -> Outcome<State> {
         match event {
--- a/src/programs/active.rs
+++ b/src/programs/active.rs
@@ -41,7 +41,7 @@
 pub struct ActiveTurn {
     /// The turn's number.
     pub turn: TurnNo,
-    /// Digest of the caller's request.
+    /// Digest of the requested work.
     pub digest: Digest,
     /// The request; `None` if an earlier owner dispatched the turn and no caller has repeated the
     /// request since.
--- a/src/programs/call.rs
+++ b/src/programs/call.rs
@@ -232,7 +232,7 @@
     OwnerLost,
     /// Every attempt failed.
     AttemptsFailed,
-    /// The call crashed an engine while it ran alone there, and is not run again.
+    /// An engine crashed while it ran only this call, which is not run again.
     CrashesEndpoints,
 }
 
--- a/src/programs/owner/attempts.rs
+++ b/src/programs/owner/attempts.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The program whose newest attempt this is, if it is in flight. Frames of earlier attempts are
-    /// ignored: they would mix their text into the newest attempt's answer.
+    /// The program whose latest attempt this is, if it is in flight. Frames of earlier attempts are
+    /// ignored: they would mix their text into the latest attempt's answer.
     fn program_of_attempt(&self, attempt: AttemptId) -> Option<ProgramId> {
         let is_current = |active: &ActiveTurn| {
             let is_in_flight =
@@ -195,8 +195,8 @@
         let crash_status = cx.env.crash_status(&program.workspace, &active.digest);
         let attempts_exhausted = active.attempts >= self.limits.max_attempts;
         let no_attempts_left = crash_status == CrashStatus::Poison || attempts_exhausted;
-        let no_waiters = active.waiters.is_empty() || cause == FailureCause::Cancelled;
-        let gives_up = no_attempts_left || no_waiters || active.request.is_none();
+        let is_abandoned = active.waiters.is_empty() || cause == FailureCause::Cancelled;
+        let gives_up = no_attempts_left || is_abandoned || active.request.is_none();
         if gives_up || !cx.env.try_acquire_retry(&program.workspace) {
             let reason = match crash_status {
                 CrashStatus::Poison => RefusalReason::CrashesEndpoints,
@@ -235,7 +235,8 @@
         let settled =
             self.shard_state.program(program).is_none_or(|state| state.open_intent.is_none());
         if !settled {
-            // The last attempt's reservation still counts against the budget.
+            // The last attempt's settlement is not recorded yet, so its reservation still counts
+            // against the budget. The next tick tries again.
             return;
         }
         let avoid = active.endpoint.vm.clone();
@@ -245,6 +246,8 @@
         };
         let generated_tokens = active.generated_tokens;
         let worst_case = request.work.worst_case_tokens();
+        // At least one token, unless the work can generate none: see the `max_tokens` of
+        // `attempt_work`.
         let reserve_tokens = worst_case.saturating_sub(generated_tokens).max(worst_case.min(1));
         let account = self.shard_state.account(program);
         if !account.can_reserve(reserve_tokens, request.limits.budget_tokens) {
--- a/src/programs/owner/messages.rs
+++ b/src/programs/owner/messages.rs
@@ -146,7 +146,7 @@
     pub program: ProgramId,
     /// The turn.
     pub turn: TurnNo,
-    /// Digest of the call.
+    /// Digest of the requested work.
     pub digest: Digest,
     /// What to run.
     pub work: AttemptWork,
@@ -288,8 +288,8 @@
     pub program: &'a ProgramId,
     /// The model or service.
     pub target: &'a ModelName,
-    /// Digest of the call. Suspected calls are placed by it, so that the same call of several
-    /// programs goes to one endpoint.
+    /// Digest of the requested work. Suspected calls are placed by it, so that the same call of
+    /// several programs goes to one endpoint.
     pub digest: &'a Digest,
     /// The workspace's share of the capacity relative to other workspaces.
     pub weight: u32,
@@ -297,7 +297,7 @@
     pub is_first: bool,
     /// Whether it is suspected of crashing engines.
     pub is_suspect: bool,
-    /// The VM to avoid, because the last attempt failed there.
+    /// The VM to avoid if another can serve the call, because the last attempt failed there.
     pub avoid: Option<&'a VmName>,
 }
 
@@ -341,7 +341,8 @@
 pub struct OwnerLimits {
     /// Maximum number of attempts for one turn.
     pub max_attempts: u32,
-    /// Backoff after the first failed attempt; it doubles with each further attempt.
+    /// Backoff after the first failed attempt. It doubles with each further attempt, to at most 64
+    /// times this value; with jitter, the delay is between half and one and a half times as long.
     pub backoff_ms: u64,
     /// Interval between two queries about one attempt.
     pub query_interval_ms: u64,
--- a/src/programs/owner/mod.rs
+++ b/src/programs/owner/mod.rs
@@ -39,8 +39,10 @@
     active_turns: HashMap<ProgramId, ActiveTurn>,
     next_sequence: u64,
     log: LogState,
+    /// Calls that arrived before the ownership was established; they are handled afterwards.
     pending_requests: Vec<(CallId, TurnRequest)>,
     unconfirmed_refusals: Vec<UnconfirmedRefusal>,
+    /// Callers that ended a program and wait until its end is recorded.
     pending_ends: Vec<(CallId, ProgramId)>,
 }
 
@@ -56,15 +58,15 @@
     reading: bool,
     /// Another read was requested while one was in flight.
     read_again: bool,
-    /// When the newest read was sent.
+    /// When the latest read was sent.
     read_sent_at: TimeMs,
-    /// When the newest append was sent.
+    /// When the latest append was sent.
     append_sent_at: TimeMs,
     /// Records read during recovery, collected until the end of the stream is reached.
     recovered: Vec<StoredRecord<Record>>,
-    /// When the append may be sent that was reserved within the log's append rate.
+    /// When the next append may be sent, if the append rate made it wait.
     append_at: Option<TimeMs>,
-    /// Whether the newest append or read failed.
+    /// Whether the latest append or read failed.
     failing: bool,
     /// When to try the log again after a failure.
     retry_at: Option<TimeMs>,
@@ -137,8 +139,8 @@
         self.predecessor
     }
 
-    /// When the newest request was sent to the log whose answer confirmed that this entry still
-    /// owns the shard.
+    /// When the latest append or read was sent whose answer confirmed that this entry still owns
+    /// the shard.
     pub fn confirmed_at(&self) -> Option<TimeMs> {
         self.confirmed_at
     }
@@ -148,7 +150,7 @@
         self.active_turns.iter()
     }
 
-    /// Whether the newest append or read failed.
+    /// Whether the latest append or read failed.
     pub fn log_failing(&self) -> bool {
         self.log.failing
     }
@@ -174,6 +176,7 @@
             Event::Frame { attempt, frame } => self.handle_frame(&mut cx, attempt, frame),
             Event::ConnectionLost { attempt } => self.handle_connection_lost(&mut cx, attempt),
             Event::Report { attempt, report } => self.handle_report(&mut cx, attempt, report),
+            // `flush` sends the append that waited.
             Event::Wake => {}
             Event::Tick => self.tick(&mut cx),
         }
@@ -200,7 +203,7 @@
 
     /// Ends the ownership for good and refuses every waiting call.
     fn lose_ownership(&mut self, cx: &mut Context<'_>) {
-        self.ownership.handle(OwnershipEvent::OtherClaimRead);
+        self.ownership.handle(OwnershipEvent::Lost);
         self.log.in_flight.clear();
         self.log.outbox.clear();
         for (call, _) in std::mem::take(&mut self.pending_requests) {
--- a/src/programs/owner/requests.rs
+++ b/src/programs/owner/requests.rs
@@ -232,7 +232,7 @@
     }
 }
 
-/// The record that must be in the log before an active turn's newest attempt is dispatched.
+/// The record that must be in the log before an active turn's latest attempt is dispatched.
 pub(super) fn intent_record(program: &ProgramId, active: &ActiveTurn) -> Record {
     Record::Intent(IntentRecord {
         program: program.clone(),
@@ -264,7 +264,8 @@
     }
 }
 
-/// An ended program keeps only the number of its turns. A repeat of one of these did run.
+/// The refusal of a call to an ended program, of which only the number of finished turns is kept.
+/// A call that repeats one of them did run.
 fn refusal_after_end(state: &ProgramState, request: &TurnRequest) -> Refusal {
     let reason = RefusalReason::ProgramEnded;
     let ran = match request.turn {
--- a/src/programs/owner/tick.rs
+++ b/src/programs/owner/tick.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Refuses callers whose deadline has passed before the ownership was established.
     fn refuse_expired_pending(&mut self, cx: &mut Context<'_>) {
         let now = cx.now;
         let (expired, waiting) = std::mem::take(&mut self.pending_requests)
@@ -92,13 +93,15 @@
         self.log.outbox.extend(records);
     }
 
+    /// Ends programs that have been idle too long, and removes ended ones whose ids need no longer
+    /// be reserved.
     fn end_idle_programs(&mut self, cx: &mut Context<'_>) {
         if !self.log.in_flight.is_empty() || !self.log.outbox.is_empty() {
             return;
         }
         let idle_ms = self.limits.program_idle_ms;
         let is_idle = |id: &ProgramId, state: &ProgramState| {
-            let is_inactive = cx.unix_now.since(state.newest_record_time) >= idle_ms
+            let is_inactive = cx.unix_now.since(state.last_activity_time) >= idle_ms
                 && !self.active_turns.contains_key(id);
             is_inactive && state.ended.is_none()
         };
--- a/src/programs/ownership.rs
+++ b/src/programs/ownership.rs
@@ -11,8 +11,8 @@
     ClaimRead(Epoch),
     /// The stream has been read to its end.
     CaughtUp,
-    /// A claim by another owner was read.
-    OtherClaimRead,
+    /// Another claim was read, or records expired before this entry read them.
+    Lost,
     /// The entry is to release the shard once no turn is in flight.
     Release,
     /// The entry's own release was read from the log.
@@ -45,7 +45,7 @@
     fn recovering(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         match event {
             OwnershipEvent::CaughtUp => Transition(State::owning(*epoch)),
-            OwnershipEvent::OtherClaimRead => Transition(State::lost()),
+            OwnershipEvent::Lost => Transition(State::lost()),
             _ => Handled,
         }
     }
@@ -53,7 +53,7 @@
     #[state]
     fn owning(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         match event {
-            OwnershipEvent::OtherClaimRead => Transition(State::lost()),
+            OwnershipEvent::Lost => Transition(State::lost()),
             OwnershipEvent::Release => Transition(State::releasing(*epoch)),
             _ => Handled,
         }
@@ -63,9 +63,7 @@
     fn releasing(epoch: &Epoch, event: &OwnershipEvent) -> Outcome<State> {
         let _ = epoch;
         match event {
-            OwnershipEvent::OtherClaimRead | OwnershipEvent::ReleaseRead => {
-                Transition(State::lost())
-            }
+            OwnershipEvent::Lost | OwnershipEvent::ReleaseRead => Transition(State::lost()),
             _ => Handled,
         }
     }
--- a/src/programs/record.rs
+++ b/src/programs/record.rs
@@ -67,7 +67,7 @@
     pub program: ProgramId,
     /// The turn.
     pub turn: TurnNo,
-    /// Digest of the caller's request.
+    /// Digest of the requested work.
     pub digest: Digest,
     /// The attempt; its epoch is that of the owner that writes the record.
     pub attempt: AttemptId,
@@ -92,7 +92,7 @@
     pub turn: TurnNo,
     /// The attempt that produced the result.
     pub attempt: AttemptId,
-    /// Digest of the caller's request.
+    /// Digest of the requested work.
     pub digest: Digest,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
--- a/src/programs/shard_state.rs
+++ b/src/programs/shard_state.rs
@@ -36,8 +36,8 @@
         ShardState::starting_at(Offset(1), Epoch(0))
     }
 
-    /// Empty state that expects the record at `next_offset`. `epoch` is that of the latest claim before
-    /// it.
+    /// Empty state that expects the record at `next_offset`. `epoch` is that of the latest claim
+    /// before it.
     pub fn starting_at(next_offset: Offset, epoch: Epoch) -> ShardState {
         ShardState {
             next_offset,
@@ -88,7 +88,8 @@
         self.programs.iter()
     }
 
-    /// Tokens used and reserved by a program's account, which it shares with its sub-agents.
+    /// Tokens used and reserved by a program's account, which a root program shares with all its
+    /// sub-agents.
     pub fn account(&self, program: &ProgramId) -> Account {
         self.accounts.get(&program.account()).copied().unwrap_or_default()
     }
@@ -155,7 +156,7 @@
             state.settle(reservation);
             state.open_intent = Some(intent.clone());
             state.last_attempt = Some(intent.attempt);
-            state.newest_record_time = time;
+            state.last_activity_time = time;
             ApplyOutcome::Accepted
         })
     }
@@ -172,7 +173,7 @@
                 return ApplyOutcome::Ignored;
             }
             state.settle(charge_tokens);
-            state.newest_record_time = time;
+            state.last_activity_time = time;
             ApplyOutcome::Accepted
         })
     }
@@ -181,6 +182,7 @@
         self.create_if_missing(&outcome.program, time, outcome.turn);
         self.update_program(&outcome.program, |state| {
             if state.has_history_gap {
+                // A snapshot fills the gap only if it covers at least this many turns.
                 state.turn_count = state.turn_count.max(outcome.turn.0);
                 return ApplyOutcome::Ignored;
             }
@@ -188,11 +190,12 @@
                 return ApplyOutcome::Ignored;
             }
             state.finish_turn(outcome);
-            state.newest_record_time = time;
+            state.last_activity_time = time;
             ApplyOutcome::Accepted
         })
     }
 
+    /// Ends a program. One that is not known yet is added, so that its id stays reserved.
     fn apply_ended(&mut self, time: UnixMs, program: &ProgramId) -> ApplyOutcome {
         self.create_if_missing(program, time, TurnNo(1));
         for id in self.programs_ended_with(program) {
@@ -206,7 +209,8 @@
 
     /// Restores a program from a snapshot if records before it are missing. A complete state is
     /// never replaced: a snapshot whose append was retried and took effect late would otherwise
-    /// revert the history.
+    /// revert the history. If the snapshot equals the state, no earlier record is needed to rebuild
+    /// it any more.
     fn apply_snapshot(&mut self, time: UnixMs, snapshot: &ProgramSnapshot) -> ApplyOutcome {
         self.programs
             .entry(snapshot.program.clone())
@@ -254,9 +258,9 @@
         };
         let account = self.accounts.entry(program.account()).or_default();
         account.subtract(state);
-        let outcome = update(state);
+        let applied = update(state);
         account.add(state);
-        outcome
+        applied
     }
 
     fn rebuild_accounts(&mut self) {
--- a/src/programs/state.rs
+++ b/src/programs/state.rs
@@ -4,7 +4,7 @@
 /// A finished turn.
 #[wire]
 pub struct FinishedTurn {
-    /// Digest of the caller's request.
+    /// Digest of the requested work.
     pub digest: Digest,
     /// The caller's idempotency key.
     pub idempotency_key: Option<Arc<str>>,
@@ -33,8 +33,9 @@
     pub has_history_gap: bool,
     /// Time of the oldest record needed to rebuild this state.
     pub oldest_record_time: UnixMs,
-    /// Time of the latest accepted record.
-    pub newest_record_time: UnixMs,
+    /// Time of the latest accepted intent, settlement or outcome, or of the snapshot that this
+    /// state was restored from. Idle time is counted from it.
+    pub last_activity_time: UnixMs,
 }
 
 impl ProgramState {
@@ -49,7 +50,7 @@
             ended: None,
             has_history_gap: false,
             oldest_record_time: time,
-            newest_record_time: time,
+            last_activity_time: time,
         }
     }
 
@@ -135,7 +136,7 @@
             ended: snapshot.ended,
             has_history_gap: false,
             oldest_record_time: time,
-            newest_record_time: time,
+            last_activity_time: time,
         }
     }
 }
--- a/src/programs/tests/properties.rs
+++ b/src/programs/tests/properties.rs
@@ -34,6 +34,7 @@
     fn invariants_hold_under_any_interleaving_of_faults(steps in steps()) {
         let mut simulation = Simulation::new(4);
         simulation.limit_append_rate = true;
+        // Entry 0 claims the shard.
         simulation.step(Step { kind: 54, arg: 0 });
         steps.into_iter().for_each(|step| simulation.step(step));
         simulation.run_to_completion();
--- a/src/programs/tests/replay.rs
+++ b/src/programs/tests/replay.rs
@@ -47,7 +47,7 @@
         ["cut", endpoint] => simulation.break_connection(parse_index(endpoint)),
         ["log", "out"] => simulation.log.unavailable = true,
         ["log", "back"] => simulation.log.unavailable = false,
-        ["log", "loses", "answer"] => simulation.lose_next_append = true,
+        ["log", "loses", "answer"] => simulation.lose_next_append_answer = true,
         ["log", "delays", "append"] => simulation.delay_next_append = Some(()),
         ["log", "lands", "append"] => simulation.apply_delayed_append(),
         ["settle"] => simulation.run_to_completion(),
--- a/src/programs/tests/simulation/mod.rs
+++ b/src/programs/tests/simulation/mod.rs
@@ -44,6 +44,7 @@
 struct Endpoint {
     scheduler: AttemptScheduler,
     endpoint_ref: EndpointRef,
+    /// Running attempts, each with the number of words that it has sent.
     running: Vec<(Attempt, usize)>,
     /// The owner, by its nonce, that gets the frames of an attempt; removed when the connection
     /// breaks.
@@ -61,7 +62,7 @@
     in_flight: Vec<Message>,
     next_nonce: u64,
     /// The next append takes effect, but its answer is lost.
-    pub lose_next_append: bool,
+    pub lose_next_append_answer: bool,
     /// The next append is not answered and takes effect later.
     pub delay_next_append: Option<()>,
     delayed_appends: Vec<Vec<Record>>,
@@ -127,7 +128,7 @@
             endpoints: Vec::new(),
             in_flight: Vec::new(),
             next_nonce: 1,
-            lose_next_append: false,
+            lose_next_append_answer: false,
             delay_next_append: None,
             delayed_appends: Vec::new(),
             executions: HashMap::new(),
@@ -157,9 +158,9 @@
     pub fn step(&mut self, step: Step) {
         let arg = usize::from(step.arg);
         match step.kind % 64 {
-            0..=25 => (0..3).for_each(|turn| self.deliver(arg + turn)),
+            0..=25 => (0..3).for_each(|n| self.deliver(arg + n)),
             26..=29 => self.tick(u64::from(step.arg)),
-            30..=37 => (0..2).for_each(|turn| self.advance(arg + turn)),
+            30..=37 => (0..2).for_each(|n| self.advance(arg + n)),
             38..=45 => self.call(arg),
             46 => self.call_early(arg),
             47 => self.kill_entry(arg % 2),
@@ -168,7 +169,7 @@
             51..=53 => self.claim_if_free(arg),
             54 => self.claim(arg % 2),
             55 => self.log.unavailable = arg.is_multiple_of(4),
-            56 => self.lose_next_append = true,
+            56 => self.lose_next_append_answer = true,
             57 => self.delay_next_append = Some(()),
             58..=59 => self.kill_endpoint(arg % 2),
             60..=61 => self.break_connection(arg),
@@ -199,7 +200,7 @@
     /// Ends all faults, and runs until every program is done.
     pub fn run_to_completion(&mut self) {
         self.log.unavailable = false;
-        self.lose_next_append = false;
+        self.lose_next_append_answer = false;
         self.delay_next_append = None;
         for round in 0..4_000 {
             self.entries.iter_mut().for_each(|entry| entry.paused = false);
--- a/src/programs/tests/simulation/network.rs
+++ b/src/programs/tests/simulation/network.rs
@@ -1,5 +1,5 @@
-//! Simulated network and log. Messages are reordered, except within one stream; the log answers,
-//! loses answers, or applies appends late.
+//! Simulated network and log. Messages are reordered, except those to one owner or to one call; the
+//! log answers, loses answers, or applies appends late.
 
 use super::{Message, PAGE_RECORDS, Simulation};
 use crate::prelude::*;
@@ -83,7 +83,7 @@
             Err(LogCallError::NoAnswer)
         } else {
             let at = self.log.append(self.now, &records);
-            match std::mem::take(&mut self.lose_next_append) {
+            match std::mem::take(&mut self.lose_next_append_answer) {
                 true => Err(LogCallError::NoAnswer),
                 false => Ok(at),
             }
--- a/src/quota/shared_window.rs
+++ b/src/quota/shared_window.rs
@@ -1,9 +1,9 @@
 //! A workspace's rate limit, shared by all entries. Most workspaces stay well below their rate,
-//! while one at a time sends many times its own. Calls arrive in bursts, and at few entries. Below
-//! the limit no call may wait for a message, so each entry admits from its own count of the window
-//! and reports by gossip how much it has admitted. Between two messages it assumes that the other
-//! entries continue at the rate they had. An entry that is cut off keeps to its own share of the
-//! limit.
+//! while one at a time sends many times its own. Requests arrive in bursts, and at few entries.
+//! Below the limit no request may wait for a message, so each entry admits from its own count of
+//! the window and reports by gossip how much it has admitted. Between two messages it assumes that
+//! the other entries continue at the rate they had. An entry that is cut off keeps to its own share
+//! of the limit.
 //!
 //! An entry that has just started does not know what was admitted before. It assumes a full window
 //! and refuses callers for some seconds after each restart, until entries that know the window have
@@ -76,6 +76,7 @@
     }
 }
 
+/// The requests counted in one slot of the window, or in all of them together.
 #[derive(Debug, Clone, Copy, Default)]
 struct Slot {
     own: f64,
@@ -107,7 +108,7 @@
     /// reported.
     largest_report: Option<(TimeMs, f64)>,
     /// What this process instance has admitted.
-    taken: UsageTotals,
+    admitted: UsageTotals,
     /// The newest totals of the other entries, by process instance.
     peer_totals: HashMap<u64, UsageTotals>,
     programs: RunningPrograms,
@@ -130,7 +131,7 @@
             fully_observed_at: now.plus(rate_limit.window_ms),
             report_adopted: false,
             largest_report: None,
-            taken: UsageTotals::default(),
+            admitted: UsageTotals::default(),
             peer_totals: HashMap::new(),
             programs: RunningPrograms::new(now),
             others_recent: 0.0,
@@ -180,7 +181,7 @@
         };
         let grant = Grant { counted: true, booked_ms };
         self.add(Slot { own: 1.0, ..Slot::default() });
-        self.taken.add(grant);
+        self.admitted.add(grant);
         self.programs.record_requests(now, 1.0, self.is_crowded());
         Ok(grant)
     }
@@ -223,7 +224,7 @@
             return;
         }
         self.add(Slot { own: -1.0, ..Slot::default() });
-        self.taken.subtract(grant);
+        self.admitted.subtract(grant);
         if let Some(booked_ms) = grant.booked_ms {
             self.programs.cancel(booked_ms);
         }
@@ -235,8 +236,8 @@
     }
 
     /// Requests that this process instance has admitted, less those refunded.
-    pub fn taken(&self) -> UsageTotals {
-        self.taken
+    pub fn admitted(&self) -> UsageTotals {
+        self.admitted
     }
 
     /// Requests of all entries in the window, if this entry knows.
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -24,7 +24,7 @@
         // The entries send their messages at different times.
         let senders = (0..entries.len()).filter(|at| connected && now % 100 == *at as u64 * 12);
         for sender in senders.collect::<Vec<_>>() {
-            let totals = entries[sender].taken();
+            let totals = entries[sender].admitted();
             let others = entries.iter_mut().enumerate().filter(|(at, _)| *at != sender);
             others.for_each(|(_, entry)| entry.apply_usage(TimeMs(now), sender as u64, totals));
         }
@@ -157,13 +157,13 @@
 fn requests_that_did_not_run_are_refunded_at_all_entries() {
     let (mut local, mut remote) = (window(10.0, 10.0), window(10.0, 10.0));
     let now = TimeMs(10_000);
-    remote.record_baseline(now, 1, local.taken());
+    remote.record_baseline(now, 1, local.admitted());
     let grant = local
         .try_admit(now, ALL_HEARD, Claim::Continues, &ProgramStats::default())
         .expect("the window has room");
-    remote.apply_usage(now, 1, local.taken());
+    remote.apply_usage(now, 1, local.admitted());
     local.refund(grant);
-    remote.apply_usage(now, 1, local.taken());
+    remote.apply_usage(now, 1, local.admitted());
     for shared in [&mut local, &mut remote] {
         let admitted = (0..100)
             .filter(|_| {
--- a/src/quota/tests/programs.rs
+++ b/src/quota/tests/programs.rs
@@ -13,7 +13,7 @@
 const RETRY_AFTER_MS: u64 = 300;
 const MAX_REFUSALS: u32 = 3;
 /// Requests that a workspace may make in a window of five seconds, and the programs per second that
-/// this carries.
+/// this carries. Of the limit, five sixths come from the rate and one sixth is the burst.
 const LIMIT: f64 = 240.0;
 const CARRIED_PER_S: f64 = LIMIT / 5.0 / REQUESTS_PER_PROGRAM as f64;
 
@@ -43,7 +43,7 @@
         }
         if now % GOSSIP_INTERVAL_MS == 0 {
             for sender in 0..ENTRIES {
-                let totals = entries[sender].taken();
+                let totals = entries[sender].admitted();
                 let others = entries.iter_mut().enumerate().filter(|(at, _)| *at != sender);
                 others.for_each(|(_, entry)| entry.apply_usage(TimeMs(now), sender as u64, totals));
             }
@@ -119,14 +119,14 @@
 fn refunded_program_start_leaves_no_booking() {
     let (mut local, mut remote) = (window(20.0, 20.0), window(20.0, 20.0));
     let now = TimeMs(10_000);
-    remote.record_baseline(now, 1, local.taken());
+    remote.record_baseline(now, 1, local.admitted());
     for _ in 0..50 {
         let grant = local
             .try_admit(now, ALL_HEARD, program_start(), &ProgramStats::default())
             .expect("the program may start");
-        remote.apply_usage(now, 1, local.taken());
+        remote.apply_usage(now, 1, local.admitted());
         local.refund(grant);
-        remote.apply_usage(now, 1, local.taken());
+        remote.apply_usage(now, 1, local.admitted());
     }
     assert!(remote.try_admit(now, ALL_HEARD, program_start(), &ProgramStats::default()).is_ok());
 }
@@ -147,12 +147,12 @@
             )
             .is_ok()
     };
-    remote.record_baseline(TimeMs(10_000), 1, local.taken());
+    remote.record_baseline(TimeMs(10_000), 1, local.admitted());
     assert!(start(&mut local, 10_000, 2 * DURATION_MS));
-    remote.apply_usage(TimeMs(10_000), 1, local.taken());
+    remote.apply_usage(TimeMs(10_000), 1, local.admitted());
     let late = (0..30).filter(|_| start(&mut local, 20_000, 0)).count();
     assert!((1..30).contains(&late), "{late}");
-    remote.apply_usage(TimeMs(20_000), 1, local.taken());
+    remote.apply_usage(TimeMs(20_000), 1, local.admitted());
     assert!(
         !start(&mut remote, 20_000, 0),
         "the bookings reported by the first entry must fill the window of the second"
--- a/src/replicas/cold_limits.rs
+++ b/src/replicas/cold_limits.rs
@@ -15,9 +15,9 @@
 /// several requests, large enough that the loss of one entry has little effect.
 const MAX_SENDERS: u32 = 5;
 
-/// Number of different entry lists that may be in use at the same time, for example on the two
-/// sides of a network partition. Each selects its own senders, and their total rate must stay
-/// within the limit.
+/// Number of different views of the list of entries that may be in use at the same time, for
+/// example on the two sides of a network partition. Each view selects its own senders, and their
+/// total rate must stay within the limit.
 const CONCURRENT_VIEWS: f64 = 2.0;
 
 /// Window in which requests are counted against the quota: the one second that the limit refers to,
@@ -40,19 +40,19 @@
 }
 
 impl ColdLimits {
-    /// Requests per window that the senders selected from one entry list may send together.
-    fn rate_per_view(&self) -> u32 {
+    /// Requests per window that the senders selected by one view may send together.
+    fn quota_per_view(&self) -> u32 {
         self.requests_per_s.min(self.max_requests_per_s / CONCURRENT_VIEWS).max(1.0) as u32
     }
 
     /// Number of entries that send to one endpoint.
     fn senders(&self) -> u32 {
-        self.rate_per_view().min(MAX_SENDERS)
+        self.quota_per_view().min(MAX_SENDERS)
     }
 
     /// Requests per window that one sender may send.
     fn quota_per_sender(&self) -> u32 {
-        self.rate_per_view() / self.senders()
+        self.quota_per_view() / self.senders()
     }
 }
 
--- a/src/replicas/directory.rs
+++ b/src/replicas/directory.rs
@@ -74,7 +74,7 @@
 /// All known endpoints.
 #[derive(Debug, Default)]
 pub struct Directory {
-    /// Makes the retry times of this process differ from those of the others.
+    /// Hash of this entry's name. Makes its retry times differ from those of the other entries.
     seed: u64,
     replicas: SlotMap<ReplicaKey, Replica>,
     by_id: HashMap<Arc<str>, ReplicaKey>,
@@ -87,8 +87,8 @@
 }
 
 impl Directory {
-    /// An empty directory. Processes with different seeds retry a failed endpoint at different
-    /// times.
+    /// An empty directory for the entry whose name has the hash `seed`. Entries with different
+    /// seeds retry a failed endpoint at different times.
     pub fn open(seed: u64) -> Directory {
         Directory { seed, sender_quota: SenderQuota::open(seed), ..Directory::default() }
     }
--- a/src/replicas/health.rs
+++ b/src/replicas/health.rs
@@ -55,11 +55,12 @@
 const COUNT_RESET_MS: u64 = 6_000;
 
 /// Age from which the counts last received from an entry are taken to belong to an earlier counting
-/// period: shorter than the pause in sending between two periods, and long enough for many
-/// messages.
+/// period: shorter than the pause in sending between two periods, which is at least
+/// `COUNT_RESET_MS - SHARE_MS`, and long enough for many messages.
 const STALE_COUNT_MS: u64 = 1_500;
 
-/// Numbers of failed and answered requests of one entry at one endpoint, since it began to fail.
+/// Numbers of failed and answered requests of one entry at one endpoint, since the endpoint began
+/// to fail.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
     /// Requests broken off or failed, and connections refused.
--- a/src/replicas/mod.rs
+++ b/src/replicas/mod.rs
@@ -1,5 +1,5 @@
 //! The endpoints of each service, as listed by the platform, and the selection of one for each
-//! request.
+//! request of the gateway. The entries of [`crate::entry`] use [`crate::routing`] instead.
 
 mod announcement;
 mod cold_limits;
--- a/src/replicas/placement.rs
+++ b/src/replicas/placement.rs
@@ -35,8 +35,8 @@
 /// Prompt tokens that an engine prefills per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 168.0;
 
-/// Minimum number of endpoints for the rule that ejected endpoints remain in use if more than half
-/// of a service's endpoints would be excluded otherwise.
+/// Minimum number of endpoints for the rule that ejected endpoints remain in use if fewer than half
+/// of a service's endpoints, rounded down, would be usable otherwise.
 const MIN_ENDPOINTS_FOR_EJECTION_LIMIT: usize = 2;
 
 /// Time after its last use for which a prompt part is assumed to stay in an endpoint's cache.
@@ -67,7 +67,7 @@
 /// A prompt part that an endpoint has cached.
 #[key]
 struct CachedPart {
-    cached_at: TimeMs,
+    last_used_at: TimeMs,
     tokens: u64,
 }
 
@@ -98,6 +98,7 @@
         self.rotation = self.rotation.wrapping_add(1);
         let is_eligible = |key: &ReplicaKey| !request.excluded.contains(key);
         let (mut active, mut usable) = (0, Vec::new());
+        // Includes endpoints on probation that already have their one request in flight.
         let mut ejected = Vec::new();
         for (key, replica) in directory.of_service(&request.service) {
             if !directory.may_send(now, key) || !self.is_allowed(request, replica) {
@@ -152,14 +153,14 @@
         request.regions.allow_all() || request.regions.allow(region())
     }
 
-    /// Prompt tokens that the endpoint would have to prefill. The last part of a session grows from
-    /// turn to turn, and what was cached of it earlier is still valid.
+    /// Prompt tokens that the endpoint would have to prefill. The last part of a program's prompt
+    /// grows from turn to turn, and what was cached of it earlier is still valid.
     fn uncached_tokens(&self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) -> u64 {
         let total: u64 = parts.iter().map(|(_, tokens)| *tokens).sum();
         let mut cached_total = 0;
         for (part, tokens) in parts {
             let cached = self.cached.get(&(key, *part));
-            let cached = cached.filter(|cached| now.since(cached.cached_at) < CACHE_TTL_MS);
+            let cached = cached.filter(|cached| now.since(cached.last_used_at) < CACHE_TTL_MS);
             let cached_tokens = cached.map_or(0, |cached| cached.tokens.min(*tokens));
             cached_total += cached_tokens;
             if cached_tokens < *tokens {
@@ -169,20 +170,21 @@
         total - cached_total
     }
 
-    /// Records that an endpoint has prefilled these prompt parts.
-    pub fn read(&mut self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) {
+    /// Records that an endpoint has prefilled these prompt parts and holds them in its cache. Has
+    /// no effect if the mechanism `Affinity` is disabled.
+    pub fn record_prefill(&mut self, now: TimeMs, key: ReplicaKey, parts: &[(u64, u64)]) {
         if !self.mechanisms.is_enabled(Mechanism::Affinity) {
             return;
         }
         for (part, tokens) in parts {
-            self.cached.insert((key, *part), CachedPart { cached_at: now, tokens: *tokens });
+            self.cached.insert((key, *part), CachedPart { last_used_at: now, tokens: *tokens });
         }
         if self.cached.len() > MAX_CACHED_PARTS {
             let mut times: Vec<TimeMs> =
-                self.cached.values().map(|cached| cached.cached_at).collect();
+                self.cached.values().map(|cached| cached.last_used_at).collect();
             times.sort_unstable();
             let median = times[times.len() / 2];
-            self.cached.retain(|_, cached| cached.cached_at > median);
+            self.cached.retain(|_, cached| cached.last_used_at > median);
         }
     }
 }
--- a/src/replicas/tests/health.rs
+++ b/src/replicas/tests/health.rs
@@ -1,7 +1,8 @@
 use super::*;
 
 // An endpoint resets two of five requests while its health check passes. Each of thirty entries
-// sends to it so rarely that none sees consecutive failures of its own, and it was never ejected.
+// sends to it so rarely that none sees consecutive failures of its own, so it was never ejected and
+// callers lost two of five requests for as long as the fault lasted.
 #[test]
 fn a_partially_failing_endpoint_is_ejected_by_the_counts_of_all_entries() {
     let mut health = Health::default();
--- a/src/replicas/tests/placement.rs
+++ b/src/replicas/tests/placement.rs
@@ -20,7 +20,7 @@
         directory_with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(topology_in("d"), Mechanisms::default());
     let holder = directory.find("q").expect("known");
-    placement.read(TimeMs(0), holder, &[(1, 2_000)]);
+    placement.record_prefill(TimeMs(0), holder, &[(1, 2_000)]);
     for _ in 0..4 {
         assert_eq!(
             placement.choose(TimeMs(1), &directory, &request(&[(1, 2_000)]), |_| true),
@@ -96,18 +96,18 @@
     assert!(chosen.is_some_and(|key| key != keys[2]));
 }
 
-// The last part of a session's prompt grows with each turn. The endpoint with the earlier turns in
-// its cache has to prefill only the new tokens, one that has only the part shared by all sessions
-// the whole session.
+// The last part of a program's prompt grows with each turn. The endpoint that has the earlier turns
+// in its cache has to prefill only the new tokens. One that has only the first part, which all
+// programs share, has to prefill all the turns.
 #[test]
-fn a_grown_session_is_sent_to_the_endpoint_that_cached_it() {
+fn a_grown_prompt_is_sent_to_the_endpoint_that_cached_it() {
     let directory =
         directory_with(&[("r", announcement("s", 1, 5, 9)), ("q", announcement("s", 2, 5, 9))]);
     let mut placement = Placement::open(topology_in("d"), Mechanisms::default());
     let holder = directory.find("q").expect("known");
     let other = directory.find("r").expect("known");
-    placement.read(TimeMs(0), other, &[(1, 12_000)]);
-    placement.read(TimeMs(0), holder, &[(1, 12_000), (2, 4_000)]);
+    placement.record_prefill(TimeMs(0), other, &[(1, 12_000)]);
+    placement.record_prefill(TimeMs(0), holder, &[(1, 12_000), (2, 4_000)]);
     for _ in 0..4 {
         let grown = request(&[(1, 12_000), (2, 4_500)]);
         assert_eq!(placement.choose(TimeMs(1), &directory, &grown, |_| true), Some(holder));
--- a/src/replicas/tests/topology.rs
+++ b/src/replicas/tests/topology.rs
@@ -5,14 +5,14 @@
     Announcement { failure_domain: domain.into(), ..announcement("s", port, 5, 9) }
 }
 
-// The endpoints of an evacuated failure domain stay listed and become idle, so that every entry
-// preferred them.
+// The endpoints of an evacuated failure domain stay listed and become idle, so every entry would
+// prefer them.
 #[test]
 fn no_request_is_sent_to_an_evacuated_domain() {
     let mut directory = directory_with(&[("r", in_domain(1, "d")), ("q", in_domain(2, "e"))]);
     let mut placement = Placement::open(topology_in("d"), Mechanisms::default());
     let (evacuated, other) = (directory.find("r").unwrap(), directory.find("q").unwrap());
-    placement.read(TimeMs(0), evacuated, &[(1, 9_000)]);
+    placement.record_prefill(TimeMs(0), evacuated, &[(1, 9_000)]);
     (0..20).for_each(|_| directory.record_sent(TimeMs(0), other));
     directory.update_evacuations(TimeMs(0), 7, domains(&["d"]));
     let again = PlacementRequest { accepts_ejected: true, ..request(&[(1, 9_000)]) };
--- a/src/routing/endpoint_view.rs
+++ b/src/routing/endpoint_view.rs
@@ -5,7 +5,7 @@
 /// interval.
 #[value]
 pub struct EndpointView {
-    /// The endpoint process.
+    /// The process beside the endpoint.
     pub endpoint: EndpointRef,
     /// Calls running and queued, as reported.
     pub reported_load: u32,
@@ -25,7 +25,7 @@
         Digest::of(&[vm.as_str().as_bytes()]).prefix()
     }
 
-    /// Returns the view of a peer, or `None` if the peer is not an endpoint process.
+    /// Returns the view of a peer, or `None` if the peer is an entry.
     pub fn from_peer(peer: &Peer, failure_domain: &str) -> Option<EndpointView> {
         let RoleStatus::Endpoint { running, queued, concurrency, .. } = &peer.heartbeat.role_status
         else {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Routing: chooses the endpoint that runs an attempt.
+//! Routing: chooses the endpoint that runs an attempt, for the entries of [`crate::entry`]. The
+//! gateway uses [`crate::replicas`] instead.
 
 mod endpoint_view;
 mod program_shares;
--- a/src/routing/retry_budget.rs
+++ b/src/routing/retry_budget.rs
@@ -9,7 +9,8 @@
 /// Retries that a workspace starts with and can accumulate at most, in thousandths.
 const MAX_SAVED_MILLI: u64 = 10_000;
 
-/// Limits the retries of each workspace to a tenth of its successful attempts.
+/// Limits the retries of each workspace to an initial budget plus a tenth of its successful
+/// attempts.
 ///
 /// Without a limit, each call would be run several times when most attempts fail, and the load
 /// added by the retries would keep the endpoints from recovering.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -14,8 +14,10 @@
     RoundRobin,
     /// The endpoint with the lowest reported load.
     LeastReported,
-    /// The endpoint that holds the program's cache, unless its load exceeds a bound. Otherwise the
-    /// endpoint with the lowest load, counting this router's dispatches since the last report.
+    /// For a program's first call, the endpoint that ranks first for the call's digest among those
+    /// whose load is within a bound. For a later call, the endpoint that holds the program's cache,
+    /// unless its load exceeds the bound; otherwise the endpoint with the lowest load. Loads
+    /// include this router's dispatches since the last report.
     CacheAffinity,
 }
 
@@ -27,12 +29,13 @@
     None,
     /// The first calls of new programs, and other calls only at a much higher load.
     NewPrograms,
-    /// As `NewPrograms`, but workspaces above their fair share are refused at a lower load.
+    /// As `NewPrograms`, but first calls are refused at a lower load for workspaces above their
+    /// fair share, and at a higher load for the others.
     Fair,
 }
 
-/// How far the load of the endpoint that holds the cache may exceed the mean load, in eighths of
-/// the mean.
+/// How far the load of the endpoint that cache affinity prefers may exceed the mean load, in
+/// eighths of the mean.
 const MAX_LOAD_ABOVE_MEAN_EIGHTHS: u32 = 4;
 /// Load allowed in addition to that bound: when the endpoints are idle, the mean load is too small
 /// to be meaningful.
@@ -48,7 +51,7 @@
 const UNIFORM_LOAD_LIMIT_EIGHTHS: u32 = 8;
 /// Load below which later calls of a program are accepted, in multiples of the concurrency.
 const LATER_CALL_LOAD_LIMIT_FACTOR: u32 = 4;
-/// Most programs whose last endpoint is kept; all are removed when the limit is reached.
+/// Maximum number of programs whose last endpoint is stored; all are removed when it is reached.
 const MAX_TRACKED_PROGRAMS: usize = 200_000;
 
 /// Chooses the endpoint for each attempt.
@@ -81,7 +84,9 @@
         Router { shedding, ..self }
     }
 
-    /// Chooses one of `endpoints`, which have to be live and able to serve the call.
+    /// Chooses one of `endpoints`, which have to be live and able to serve the call. Unless the
+    /// call is suspected of crashing engines, counts it as dispatched there, or refuses it if the
+    /// shedding policy rules out the load at that endpoint.
     pub fn place(
         &mut self,
         now: TimeMs,
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -119,13 +119,12 @@
 #[test]
 fn program_counts_are_weighted_and_decay() {
     let mut shares = ProgramShares::default();
-    let (large_weight, small_weight) =
-        (WorkspaceId::parse("l").unwrap(), WorkspaceId::parse("s").unwrap());
-    (0..9).for_each(|at| shares.record_admitted(TimeMs(at), &large_weight, 10));
-    (0..2).for_each(|at| shares.record_admitted(TimeMs(at), &small_weight, 1));
-    assert!(!shares.is_above_share(TimeMs(10), &large_weight));
-    assert!(shares.is_above_share(TimeMs(10), &small_weight));
-    assert!(!shares.is_above_share(TimeMs(600_000), &small_weight));
+    let (large, small) = (WorkspaceId::parse("l").unwrap(), WorkspaceId::parse("s").unwrap());
+    (0..9).for_each(|at| shares.record_admitted(TimeMs(at), &large, 10));
+    (0..2).for_each(|at| shares.record_admitted(TimeMs(at), &small, 1));
+    assert!(!shares.is_above_share(TimeMs(10), &large));
+    assert!(shares.is_above_share(TimeMs(10), &small));
+    assert!(!shares.is_above_share(TimeMs(600_000), &small));
 }
 
 /// When every attempt fails, a workspace may use only its initial budget of retries. It regains one
--- a/src/turns/events.rs
+++ b/src/turns/events.rs
@@ -89,7 +89,7 @@
         self.last_id.as_deref()
     }
 
-    /// Whether no event has been received in part.
+    /// Whether none of the bytes received belongs to an incomplete event.
     pub fn at_event_boundary(&self) -> bool {
         self.line.is_empty() && !self.has_field
     }
--- a/src/turns/ledger.rs
+++ b/src/turns/ledger.rs
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// A completed turn.
+    /// The completed turn with this key, if it is in the ledger.
     pub fn turn(&self, key: TurnKey) -> Option<&Turn> {
         self.turns.get(&key)
     }
@@ -142,7 +142,8 @@
         Ok((!is_covered).then(|| account.next_record(key, max_tokens)))
     }
 
-    /// Ends a turn that reserved `max_tokens` tokens and delivered `used` of them.
+    /// Ends a turn that reserved `max_tokens` tokens and delivered `used` of them. Returns the
+    /// account's next record, which reserves `max_tokens` ahead for the program's next turn.
     pub fn settle(
         &mut self,
         key: ProgramKey,
--- a/src/turns/record.rs
+++ b/src/turns/record.rs
@@ -103,7 +103,7 @@
     pub kept_until: UnixMs,
 }
 
-/// A record of the platform's log, which is compacted by key: only the newest record of a key is
+/// A record of the store's log, which is compacted by key: only the newest record of a key is
 /// valid.
 #[value]
 pub struct Record {
--- a/src/turns/tests.rs
+++ b/src/turns/tests.rs
@@ -17,7 +17,7 @@
     TurnKey::of("w", id)
 }
 
-fn account(id: &str) -> ProgramKey {
+fn program_key(id: &str) -> ProgramKey {
     ProgramKey::of("w", id)
 }
 
@@ -68,13 +68,13 @@
 #[test]
 fn budget_is_exceeded_by_less_than_one_turn() {
     let mut ledger = Ledger::default();
-    ledger.reserve(account("p"), 100, 60, UnixMs(1)).expect("nothing used");
-    ledger.reserve(account("p"), 100, 60, UnixMs(1)).expect("60 of 100 reserved");
-    let refused = ledger.reserve(account("p"), 100, 60, UnixMs(1));
+    ledger.reserve(program_key("p"), 100, 60, UnixMs(1)).expect("nothing used");
+    ledger.reserve(program_key("p"), 100, 60, UnixMs(1)).expect("60 of 100 reserved");
+    let refused = ledger.reserve(program_key("p"), 100, 60, UnixMs(1));
     assert_eq!(refused, Err(BudgetExhausted { used: 120, budget: 100 }));
-    ledger.settle(account("p"), 60, 10);
-    ledger.settle(account("p"), 60, 20);
-    assert!(ledger.reserve(account("p"), 100, 60, UnixMs(1)).is_ok());
+    ledger.settle(program_key("p"), 60, 10);
+    ledger.settle(program_key("p"), 60, 20);
+    assert!(ledger.reserve(program_key("p"), 100, 60, UnixMs(1)).is_ok());
 }
 
 // The owner crashes while a turn is streaming. The caller has received some of its tokens, and the
@@ -83,24 +83,27 @@
 #[test]
 fn tokens_reserved_by_a_crashed_owner_count_as_spent() {
     let mut ledger = Ledger::default();
-    let reserved = ledger.reserve(account("p"), 121, 60, UnixMs(1)).expect("nothing used");
+    let reserved = ledger.reserve(program_key("p"), 121, 60, UnixMs(1)).expect("nothing used");
     let (record, _) = reserved.expect("the first turn needs a record");
     let mut successor = reload(&[record]);
-    successor.reserve(account("p"), 121, 60, UnixMs(1)).expect("120 of 121 counted as spent");
-    assert!(successor.reserve(account("p"), 121, 60, UnixMs(1)).is_err());
+    successor.reserve(program_key("p"), 121, 60, UnixMs(1)).expect("120 of 121 counted as spent");
+    assert!(successor.reserve(program_key("p"), 121, 60, UnixMs(1)).is_err());
 }
 
 #[test]
 fn sequential_turns_need_one_record_each() {
     let mut ledger = Ledger::default();
-    let first = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
+    let first = ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
     let (_, version) = first.expect("the first turn needs a record");
-    ledger.mark_durable(account("p"), version);
-    let (_, version) = ledger.settle(account("p"), 60, 10);
-    ledger.mark_durable(account("p"), version);
-    assert_eq!(ledger.reserve(account("p"), 1_000, 60, UnixMs(1)), Ok(None));
+    ledger.mark_durable(program_key("p"), version);
+    let (_, version) = ledger.settle(program_key("p"), 60, 10);
+    ledger.mark_durable(program_key("p"), version);
+    assert_eq!(ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)), Ok(None));
     assert!(
-        ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("within the budget").is_some()
+        ledger
+            .reserve(program_key("p"), 1_000, 60, UnixMs(1))
+            .expect("within the budget")
+            .is_some()
     );
 }
 
@@ -110,20 +113,23 @@
 #[test]
 fn pending_record_covers_only_what_it_reserves() {
     let mut ledger = Ledger::default();
-    let first = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
-    ledger.mark_durable(account("p"), first.expect("the first turn needs a record").1);
-    ledger.settle(account("p"), 60, 10);
-    assert_eq!(ledger.reserve(account("p"), 1_000, 60, UnixMs(1)), Ok(None));
-    let third = ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("within the budget");
+    let first = ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
+    ledger.mark_durable(program_key("p"), first.expect("the first turn needs a record").1);
+    ledger.settle(program_key("p"), 60, 10);
+    assert_eq!(ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)), Ok(None));
+    let third = ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)).expect("within the budget");
     assert!(third.is_some());
 }
 
 #[test]
 fn record_that_is_not_durable_covers_no_turn() {
     let mut ledger = Ledger::default();
-    ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
+    ledger.reserve(program_key("p"), 1_000, 60, UnixMs(1)).expect("nothing used");
     assert!(
-        ledger.reserve(account("p"), 1_000, 60, UnixMs(1)).expect("within the budget").is_some()
+        ledger
+            .reserve(program_key("p"), 1_000, 60, UnixMs(1))
+            .expect("within the budget")
+            .is_some()
     );
 }
 
@@ -155,7 +161,7 @@
 #[test]
 fn charge_beyond_the_remaining_budget_is_refused() {
     let mut ledger = Ledger::default();
-    let program = account("p");
+    let program = program_key("p");
     ledger.reserve(program, 100, 80, UnixMs(1)).expect("nothing used").expect("a record is needed");
     assert!(ledger.charge(program, 100, 30, UnixMs(1)).is_err());
     let record = ledger
@@ -196,22 +202,24 @@
 fn turns_without_durable_records_deliver_no_more_than_was_reserved() {
     let (budget, max_tokens, used) = (1_000_000, 60, 50);
     let mut ledger = Ledger::default();
-    let first = ledger.reserve(account("p"), budget, max_tokens, UnixMs(1)).expect("nothing used");
+    let first =
+        ledger.reserve(program_key("p"), budget, max_tokens, UnixMs(1)).expect("nothing used");
     let (durable, version) = first.expect("the first turn needs a record");
-    ledger.mark_durable(account("p"), version);
+    ledger.mark_durable(program_key("p"), version);
     let mut delivered = 0;
     loop {
         delivered += used;
-        ledger.settle(account("p"), max_tokens, used);
-        let next =
-            ledger.reserve(account("p"), budget, max_tokens, UnixMs(1)).expect("within the budget");
+        ledger.settle(program_key("p"), max_tokens, used);
+        let next = ledger
+            .reserve(program_key("p"), budget, max_tokens, UnixMs(1))
+            .expect("within the budget");
         if next.is_some() || delivered > 10 * max_tokens {
             break;
         }
     }
     let mut next_owner = reload(&[durable]);
     let counted = next_owner
-        .reserve(account("p"), 0, max_tokens, UnixMs(1))
+        .reserve(program_key("p"), 0, max_tokens, UnixMs(1))
         .expect_err("the budget is 0")
         .used;
     assert!(
@@ -226,12 +234,13 @@
 #[test]
 fn turn_needs_no_record_once_the_previous_record_is_durable() {
     let mut ledger = Ledger::default();
-    let first = ledger.reserve(account("p"), 10_000, 60, UnixMs(1)).expect("nothing used");
-    ledger.mark_durable(account("p"), first.expect("the first turn needs a record").1);
+    let first = ledger.reserve(program_key("p"), 10_000, 60, UnixMs(1)).expect("nothing used");
+    ledger.mark_durable(program_key("p"), first.expect("the first turn needs a record").1);
     for turn in 0..10 {
-        let (_, settled) = ledger.settle(account("p"), 60, 50);
-        ledger.mark_durable(account("p"), settled);
-        let next = ledger.reserve(account("p"), 10_000, 60, UnixMs(1)).expect("within the budget");
+        let (_, settled) = ledger.settle(program_key("p"), 60, 50);
+        ledger.mark_durable(program_key("p"), settled);
+        let next =
+            ledger.reserve(program_key("p"), 10_000, 60, UnixMs(1)).expect("within the budget");
         assert_eq!(next, None, "{turn}");
     }
 }
