--- a/derive/src/lib.rs
+++ b/derive/src/lib.rs
@@ -1,4 +1,4 @@
-//! The sets of derives that most types of trefoilproxy share, each under one short name.
+//! Attribute macros for the sets of derives that most types of trefoilproxy use.
 
 use proc_macro::TokenStream;
 
@@ -11,38 +11,38 @@
 const NAME: &str = "#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, \
                     ::serde::Serialize, ::serde::Deserialize)]";
 
-/// An owned value: compared and cloned, not hashed.
+/// Derives for a value that is compared and cloned but not hashed.
 #[proc_macro_attribute]
 pub fn value(_args: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(VALUE, item)
 }
 
-/// A small `Copy` key: hashed and ordered.
+/// Derives for a small `Copy` key that is hashed and ordered.
 #[proc_macro_attribute]
 pub fn key(_args: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(KEY, item)
 }
 
-/// A type that crosses the wire or the log, in `snake_case`.
+/// Derives for a type that is serialized in messages or log records, with names in `snake_case`.
 #[proc_macro_attribute]
 pub fn wire(_args: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(WIRE, item)
 }
 
-/// A small `Copy` key that crosses the wire as it is.
+/// Derives for a small `Copy` key that is also serialized, without renaming.
 #[proc_macro_attribute]
 pub fn wire_key(_args: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(WIRE_KEY, item)
 }
 
-/// A name held as shared text: hashed, ordered and sent as it is.
+/// Derives for a name that is cloned, hashed, ordered and serialized, without renaming.
 #[proc_macro_attribute]
 pub fn name(_args: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(NAME, item)
 }
 
 fn with_derives(derives: &str, item: TokenStream) -> TokenStream {
-    let mut out: TokenStream = derives.parse().expect("a constant attribute parses");
-    out.extend(item);
-    out
+    let mut tokens: TokenStream = derives.parse().expect("the constant attribute is valid Rust");
+    tokens.extend(item);
+    tokens
 }
--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -7,7 +7,9 @@
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use trefoilproxy::admission::{BorrowRequest, Lender, LendingTimes};
-use trefoilproxy::contracts::{Book, ConfigRecord, KeyDigest, KeyId, Operation, parse_declaration};
+use trefoilproxy::contracts::{
+    ConfigRecord, ConfigState, KeyDigest, KeyId, Operation, parse_declaration,
+};
 use trefoilproxy::membership::{Heartbeat, LivenessTimeouts, PeerState, PeerTable, RoleStatus};
 use trefoilproxy::prelude::*;
 use trefoilproxy::programs::{
@@ -225,7 +227,7 @@
     };
     for workspaces in [8, 330, 3_300] {
         let before = held_bytes();
-        let mut book = Book::default();
+        let mut config_state = ConfigState::default();
         let started = Instant::now();
         let mut offset = 0;
         for number in 0..workspaces {
@@ -235,10 +237,10 @@
             let grant = |k| Operation::Grant { key: KeyId(format!("k{k}").into()), digest: key(k) };
             for operation in [publish, grant(0), grant(1)] {
                 offset += 1;
-                let base = book.version(&id);
+                let base = config_state.version(&id);
                 let workspace = id.clone();
                 let change = ConfigRecord::Change { id: offset, workspace, base, operation };
-                book.apply(Offset(offset), &change);
+                config_state.apply(Offset(offset), &change);
             }
         }
         let ns = per(started, offset as usize);
@@ -246,9 +248,9 @@
         let digests: Vec<KeyDigest> =
             (0..10_000).map(|n| KeyDigest::of_key(&format!("key-{}-1", n % workspaces))).collect();
         let started = Instant::now();
-        digests.iter().for_each(|digest| drop(black_box(book.authenticate(digest))));
+        digests.iter().for_each(|digest| drop(black_box(config_state.authenticate(digest))));
         let authenticate = per(started, digests.len());
-        let snapshot = serde_json::to_vec(&book.snapshot()).unwrap_or_default().len();
+        let snapshot = serde_json::to_vec(&config_state.snapshot()).unwrap_or_default().len();
         println!("{workspaces:>10} {ns:>14.0} {bytes:>16} {authenticate:>16.0} {snapshot:>14}");
     }
 }
--- a/src/bin/trefoilproxyd.rs
+++ b/src/bin/trefoilproxyd.rs
@@ -4,7 +4,7 @@
 
 use trefoilproxy::daemon::DaemonError;
 use trefoilproxy::settings::{EndpointSettings, EntrySettings, Reader, SettingsError};
-use trefoilproxy::telemetry::{Writing, start_logs, start_metrics};
+use trefoilproxy::telemetry::{WriteMode, start_logs, start_metrics};
 use trefoilproxy::{endpoint, entry};
 
 const EXIT_USAGE: u8 = 2;
@@ -56,7 +56,7 @@
 where
     F: Future<Output = Result<(), DaemonError>>,
 {
-    if let Err(fault) = start_logs(log_level, Writing::EachLine) {
+    if let Err(fault) = start_logs(log_level, WriteMode::EachLine) {
         eprintln!("trefoilproxyd: {fault}");
         return ExitCode::FAILURE;
     }
--- a/src/contracts/contract.rs
+++ b/src/contracts/contract.rs
@@ -1,20 +1,20 @@
 use crate::prelude::*;
 use crate::programs::ProgramLimits;
 
-/// What a workspace may do.
+/// The rights and limits of a workspace.
 #[wire]
 pub struct Contract {
-    /// Calls a second, over all entries together.
+    /// Maximum rate of calls per second, over all entries together.
     pub rate_per_s: u32,
-    /// Calls that may come at once.
+    /// Maximum number of calls that may arrive at once.
     pub burst: u32,
-    /// What each program may use.
+    /// Limits of each program.
     pub program: ProgramLimits,
-    /// Models that it may call.
+    /// Models that the workspace may call.
     pub models: Vec<ModelName>,
-    /// Actions of services that it may call, as `service/action`.
+    /// Actions of services that the workspace may call, as `service/action`.
     pub actions: Vec<Arc<str>>,
-    /// Those of them that must run at most once.
+    /// The subset of `actions` that must run at most once.
     pub irreversible: Vec<Arc<str>>,
 }
 
@@ -24,12 +24,12 @@
         self.models.contains(model)
     }
 
-    /// Whether the workspace may call an action of a service.
+    /// Whether the workspace may call an action, given as `service/action`.
     pub fn allows_action(&self, action: &str) -> bool {
         self.actions.iter().any(|allowed| &**allowed == action)
     }
 
-    /// Whether an action must run at most once.
+    /// Whether an action, given as `service/action`, must run at most once.
     pub fn is_irreversible(&self, action: &str) -> bool {
         self.irreversible.iter().any(|listed| &**listed == action)
     }
--- a/src/contracts/keys.rs
+++ b/src/contracts/keys.rs
@@ -16,28 +16,29 @@
     }
 }
 
-/// The digest of a key. Keys themselves are held nowhere.
+/// The digest of a key. The keys themselves are not stored.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyDigest(Digest);
 
 impl KeyDigest {
-    /// Digests a key as it came from a caller.
+    /// The digest of a key that a caller has sent.
     pub fn of_key(key: &str) -> KeyDigest {
         KeyDigest(Digest::of(&[b"trefoil key", key.as_bytes()]))
     }
 }
 
 impl KeyDigest {
-    /// Where it is looked up. A guesser who learns from the time of a look-up how much of this
-    /// was right learns nothing of the key: it is a part of a digest that he can't steer.
+    /// The index under which the digest is looked up: its prefix. The time of a lookup may reveal how
+    /// much of it matched. This tells an attacker nothing about the key, because it is part of a
+    /// digest that the attacker can't control.
     pub(super) fn slot(&self) -> u64 {
         self.0.prefix()
     }
 }
 
-/// Compares in constant time: otherwise the time of a refusal would tell how much of a guessed
-/// digest was right.
+/// Compares in constant time: otherwise the time of a rejection would reveal how much of a guessed
+/// digest matched.
 impl PartialEq for KeyDigest {
     fn eq(&self, other: &KeyDigest) -> bool {
         self.0.as_bytes().ct_eq(other.0.as_bytes()).into()
@@ -46,7 +47,7 @@
 
 impl Eq for KeyDigest {}
 
-/// Shows nothing: not even a digest belongs into a log.
+/// Prints nothing of the digest: not even digests belong in logs.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -1,16 +1,17 @@
-//! Contracts and keys: what operators declare, how it is published, and what is in force.
+//! Contracts and keys of workspaces: how operators declare them, the records that publish them, and
+//! the configuration in force.
 
-mod book;
+mod config_state;
 mod contract;
 mod declaration;
 mod keys;
 mod record;
 
-pub use book::{Book, Change, Conflict, Verdict};
+pub use config_state::{ApplyOutcome, ChangeOutcome, ConfigState, Conflict};
 pub use contract::Contract;
-pub use declaration::{Declaration, DeclarationFault, parse_declaration};
+pub use declaration::{Declaration, DeclarationError, parse_declaration};
 pub use keys::{KeyDigest, KeyId};
-pub use record::{BookSnapshot, ConfigRecord, Operation};
+pub use record::{ConfigRecord, ConfigSnapshot, Operation};
 
 #[cfg(test)]
 mod tests;
--- a/src/contracts/record.rs
+++ b/src/contracts/record.rs
@@ -1,24 +1,24 @@
 use crate::contracts::{Contract, KeyDigest, KeyId};
 use crate::prelude::*;
 
-/// What one change does.
+/// The operation that a change performs on a workspace.
 #[wire]
 pub enum Operation {
-    /// Puts a contract in force, in place of the one before.
+    /// Puts a contract into force, replacing the previous one.
     Publish {
         /// The contract.
         contract: Contract,
     },
-    /// Takes the workspace's contract out of force; its keys stop working.
+    /// Withdraws the workspace's contract and removes all its keys.
     Withdraw,
-    /// Lets a key act for the workspace.
+    /// Adds a key to the workspace, or replaces the key with that name.
     Grant {
         /// The key's public name.
         key: KeyId,
-        /// Its digest.
+        /// The key's digest.
         digest: KeyDigest,
     },
-    /// Stops a key.
+    /// Removes a key from the workspace.
     Revoke {
         /// The key's public name.
         key: KeyId,
@@ -30,55 +30,57 @@
 pub enum ConfigRecord {
     /// An operator's change.
     Change {
-        /// Tells this change from any other: a publish whose answer was lost is found by it.
+        /// Random id of the change. By it a publisher finds out whether an append that was not
+        /// answered took effect.
         id: u64,
         /// The workspace.
         workspace: WorkspaceId,
-        /// The workspace's version that the operator saw. Another one makes it a conflict.
+        /// The workspace's version that the change is based on. If the version is a different one
+        /// when the change is applied, the change is rejected as a conflict.
         base: Offset,
-        /// What it does.
+        /// The operation.
         operation: Operation,
     },
-    /// A call was running on an engine when it crashed.
+    /// A call was running on an engine when the engine crashed.
     Suspect {
         /// The workspace.
         workspace: WorkspaceId,
-        /// Digest of the call.
+        /// The call's digest.
         digest: Digest,
         /// The crash.
         crash: Crash,
     },
-    /// A suspected call ran alone and ended well.
+    /// A suspected call ran alone without a crash.
     Cleared {
         /// The workspace.
         workspace: WorkspaceId,
-        /// Digest of the call.
+        /// The call's digest.
         digest: Digest,
     },
-    /// The whole configuration up to an offset, so that older records may expire.
-    Snapshot(BookSnapshot),
+    /// The whole configuration up to an offset. It allows older records to expire.
+    Snapshot(ConfigSnapshot),
 }
 
-/// The whole configuration, as folded up to an offset.
+/// The whole configuration, computed from the records up to an offset.
 #[wire]
-pub struct BookSnapshot {
-    /// The last record that it stands for.
+pub struct ConfigSnapshot {
+    /// The offset of the last record that it covers.
     pub through: Offset,
-    /// Every workspace: its version, its contract and its keys.
+    /// All workspaces, including those whose contract is withdrawn.
     pub workspaces: Vec<WorkspaceSnapshot>,
-    /// Calls that ran on engines when they crashed, with those crashes.
+    /// Calls, by digest, that were running on engines when these crashed, with the crashes.
     pub suspects: Vec<(WorkspaceId, Digest, Vec<Crash>)>,
 }
 
-/// One workspace in a snapshot.
+/// The state of one workspace in a snapshot.
 #[wire]
 pub struct WorkspaceSnapshot {
     /// The workspace.
     pub workspace: WorkspaceId,
     /// The offset of its last accepted change.
     pub version: Offset,
-    /// Its contract; `None` once withdrawn.
+    /// Its contract; `None` if it is withdrawn or was never published.
     pub contract: Option<Contract>,
-    /// Its keys.
+    /// Its keys: public names and digests.
     pub keys: Vec<(KeyId, KeyDigest)>,
 }
--- a/src/ctl/error.rs
+++ b/src/ctl/error.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-use crate::contracts::{Conflict, DeclarationFault};
+use crate::contracts::{Conflict, DeclarationError};
 use crate::explain::PlotFault;
 use crate::ids::InvalidName;
 use crate::logstore::LogFault;
@@ -23,7 +23,7 @@
         /// The file.
         path: String,
         /// Why.
-        fault: DeclarationFault,
+        fault: DeclarationError,
     },
     /// A name on the command line is wrong.
     Name {
--- a/src/ctl/publisher.rs
+++ b/src/ctl/publisher.rs
@@ -1,7 +1,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::contracts::{Book, Change, ConfigRecord, Operation, Verdict};
+use crate::contracts::{ApplyOutcome, ChangeOutcome, ConfigRecord, ConfigState, Operation};
 use crate::ctl::CtlError;
 use crate::entry::CONFIG_STREAM;
 use crate::http::Client;
@@ -14,7 +14,7 @@
 /// Publishes changes to the configuration stream.
 pub(super) struct Publisher {
     log: LogClient,
-    book: Book,
+    config_state: ConfigState,
 }
 
 fn unreachable(fault: LogFault) -> CtlError {
@@ -40,13 +40,13 @@
             }
         }
         let records = records.iter().map(|stored| (stored.offset, &stored.data));
-        let book = Book::of_stream(earliest.unwrap_or_default(), records);
-        Ok(Publisher { log, book: book.ok_or(CtlError::ConfigurationLost)? })
+        let config_state = ConfigState::from_records(earliest.unwrap_or_default(), records);
+        Ok(Publisher { log, config_state: config_state.ok_or(CtlError::ConfigurationLost)? })
     }
 
     /// The configuration as far as it was read.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn config_state(&self) -> &ConfigState {
+        &self.config_state
     }
 
     /// Publishes a change and reads back what became of it. An append that was not answered is
@@ -65,8 +65,10 @@
             let sent = self.log.append(CONFIG_STREAM, std::slice::from_ref(&record)).await;
             last_fault = sent.err().or(last_fault);
             match self.find(id).await {
-                Ok(Some(Change::Accepted(offset))) => return Ok(offset),
-                Ok(Some(Change::Conflict(conflict))) => return Err(CtlError::Conflict(conflict)),
+                Ok(Some(ChangeOutcome::Accepted(offset))) => return Ok(offset),
+                Ok(Some(ChangeOutcome::Conflict(conflict))) => {
+                    return Err(CtlError::Conflict(conflict));
+                }
                 Ok(None) => {}
                 Err(fault) => last_fault = Some(fault),
             }
@@ -81,14 +83,14 @@
     }
 
     /// Reads on to the end of the stream; returns what became of a change, if it is there.
-    async fn find(&mut self, wanted: u64) -> Result<Option<Change>, LogFault> {
+    async fn find(&mut self, wanted: u64) -> Result<Option<ChangeOutcome>, LogFault> {
         let mut found = None;
         loop {
-            let from = self.book.through().plus(1);
+            let from = self.config_state.through().plus(1);
             let page = self.log.read::<ConfigRecord>(CONFIG_STREAM, from, Duration::ZERO).await?;
             for stored in &page.records {
-                match self.book.apply(stored.offset, &stored.data) {
-                    Verdict::Change { id, change } if id == wanted && found.is_none() => {
+                match self.config_state.apply(stored.offset, &stored.data) {
+                    ApplyOutcome::Change { id, change } if id == wanted && found.is_none() => {
                         found = Some(change);
                     }
                     _ => {}
--- a/src/ctl/run.rs
+++ b/src/ctl/run.rs
@@ -86,8 +86,8 @@
     let Declaration { workspace, contract } = read_declaration(file)?;
     let log = required(invocation.log, "log")?;
     let publisher = Publisher::open(log, invocation.timeout).await?;
-    let version = publisher.book().version(&workspace);
-    let before = publisher.book().contract(&workspace);
+    let version = publisher.config_state().version(&workspace);
+    let before = publisher.config_state().contract(&workspace);
     let changes = differences(before, &contract);
     let lines: Vec<String> =
         changes.iter().map(|(field, old, new)| format!("{field}: {old} -> {new}")).collect();
@@ -125,10 +125,10 @@
     let log = required(invocation.log, "log")?;
     let mut publisher = Publisher::open(log, invocation.timeout).await?;
     let needs_contract = !matches!(operation, Operation::Publish { .. });
-    if needs_contract && publisher.book().contract(&workspace).is_none() {
+    if needs_contract && publisher.config_state().contract(&workspace).is_none() {
         return Err(CtlError::NoSuchWorkspace(workspace));
     }
-    let base = invocation.base.unwrap_or(publisher.book().version(&workspace));
+    let base = invocation.base.unwrap_or(publisher.config_state().version(&workspace));
     let offset = publisher.publish(workspace.clone(), base, operation).await?;
     if invocation.wait {
         let vm_list = required(invocation.vm_list, "vm-list")?;
@@ -144,15 +144,15 @@
 async fn status(invocation: &Invocation) -> Result<Output, CtlError> {
     let log = required(invocation.log, "log")?;
     let publisher = Publisher::open(log, invocation.timeout).await?;
-    let book = publisher.book();
-    let mut workspaces: Vec<Value> = book
+    let config_state = publisher.config_state();
+    let mut workspaces: Vec<Value> = config_state
         .workspaces()
         .map(|(id, contract)| {
             json!({
                 "workspace": id,
-                "version": book.version(id),
+                "version": config_state.version(id),
                 "contract": contract,
-                "keys": book.keys(id),
+                "keys": config_state.keys(id),
             })
         })
         .collect();
@@ -161,7 +161,7 @@
         Some(vm_list) => entries(vm_list, invocation.timeout).await?,
         None => Vec::new(),
     };
-    let mut lines = vec![format!("configuration {}", book.through())];
+    let mut lines = vec![format!("configuration {}", config_state.through())];
     lines.extend(workspaces.iter().map(|found| {
         format!(
             "  {} version {} keys {}",
@@ -177,7 +177,7 @@
     Ok(Output {
         text: lines.join("\n"),
         json: json!({
-            "configuration": book.through(),
+            "configuration": config_state.through(),
             "workspaces": workspaces,
             "entries": entries,
         }),
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -5,16 +5,16 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 
-use crate::http::{Body, ServerLimits, Serving, json, serve, whole};
+use crate::http::{Body, RunningServer, ServerLimits, full, json, serve};
 use crate::prelude::*;
 use crate::telemetry::Metrics;
 
 type StatusReport = Box<dyn Fn() -> serde_json::Value + Send + Sync>;
 
-/// Serves `/live`, `/ready`, `/metrics` and `/status` to the platform and to operators.
+/// HTTP server of `/live`, `/ready`, `/metrics` and `/status`, for the platform and for operators.
 pub struct Admin {
     shared: Arc<Shared>,
-    serving: Serving,
+    server: RunningServer,
 }
 
 struct Shared {
@@ -24,43 +24,44 @@
 }
 
 impl Admin {
-    /// Starts to serve. The process is live at once, but not ready.
+    /// Starts the server. It reports the process as live immediately, but not as ready.
     pub async fn bind(address: SocketAddr, metrics: Metrics) -> std::io::Result<Admin> {
         let shared =
             Arc::new(Shared { ready: AtomicBool::new(false), metrics, status: RwLock::new(None) });
-        let answering = shared.clone();
-        let serving = serve(address, ServerLimits::default(), move |request| {
-            let shared = answering.clone();
-            async move { shared.answer(&request) }
+        let handler_shared = shared.clone();
+        let server = serve(address, ServerLimits::default(), move |request| {
+            let shared = handler_shared.clone();
+            async move { shared.handle(&request) }
         })
         .await?;
-        Ok(Admin { shared, serving })
+        Ok(Admin { shared, server })
     }
 
-    /// Says whether new work may come.
+    /// Sets whether `/ready` reports that the process accepts new work.
     pub fn set_ready(&self, ready: bool) {
         self.shared.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Sets what `/status` reports.
+    /// Sets the function that computes the response to `/status`.
     pub fn report(&self, status: impl Fn() -> serde_json::Value + Send + Sync + 'static) {
-        *self.shared.status.write().expect("no holder panics") = Some(Box::new(status));
+        *self.shared.status.write().expect("no thread panics while it holds the lock") =
+            Some(Box::new(status));
     }
 
-    /// Logs the addresses that the process listens on, as one line that a launcher can read.
+    /// Logs the addresses on which the process listens, as one line that a launcher can parse.
     pub fn announce(&self, role: &str, vm: &VmName, addresses: &[(&str, SocketAddr)]) {
-        let mut all = serde_json::Map::new();
-        all.insert("admin".to_string(), self.serving.address.to_string().into());
+        let mut listeners = serde_json::Map::new();
+        listeners.insert("admin".to_string(), self.server.address.to_string().into());
         for (name, address) in addresses {
-            all.insert((*name).to_string(), address.to_string().into());
+            listeners.insert((*name).to_string(), address.to_string().into());
         }
-        let listening = serde_json::Value::Object(all).to_string();
+        let listening = serde_json::Value::Object(listeners).to_string();
         log::info!(role, vm = vm.as_str(), listening; "listening");
     }
 }
 
 impl Shared {
-    fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
+    fn handle(&self, request: &Request<Incoming>) -> Response<Body> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/live") => json(StatusCode::OK, &"live"),
             (&Method::GET, "/ready") if self.ready.load(Ordering::Relaxed) => {
@@ -69,7 +70,7 @@
             (&Method::GET, "/ready") => json(StatusCode::SERVICE_UNAVAILABLE, &"not ready"),
             (&Method::GET, "/metrics") => {
                 self.metrics.upkeep();
-                Response::new(whole(self.metrics.render()))
+                Response::new(full(self.metrics.render()))
             }
             (&Method::GET, "/status") => self.status(),
             _ => json(StatusCode::NOT_FOUND, &"no such call"),
@@ -77,7 +78,7 @@
     }
 
     fn status(&self) -> Response<Body> {
-        let status = self.status.read().expect("no holder panics");
+        let status = self.status.read().expect("no thread panics while it holds the lock");
         match status.as_ref() {
             Some(report) => json(StatusCode::OK, &report()),
             None => json(StatusCode::OK, &serde_json::json!({})),
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -5,7 +5,7 @@
 /// Why the daemon could not run.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// An address could not be bound, or a signal handler not be installed.
+    /// An address could not be bound, or a signal handler could not be installed.
     Io(std::io::Error),
     /// The control socket could not be bound.
     Link(ZmqError),
@@ -15,7 +15,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DaemonError::Io(fault) => write!(f, "{fault}"),
-            DaemonError::Link(fault) => write!(f, "control socket: {fault}"),
+            DaemonError::Link(fault) => write!(f, "cannot bind the control socket: {fault}"),
         }
     }
 }
--- a/src/daemon/pulse.rs
+++ b/src/daemon/heartbeat_sender.rs
@@ -10,32 +10,33 @@
 use crate::settings::ProcessSettings;
 use crate::time::Clock;
 
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends this process's heartbeats to the entries.
-pub struct Pulse {
+pub struct HeartbeatSender {
     http: Client,
     vm_list: SocketAddr,
     socket: Arc<UdpSocket>,
     template: Heartbeat,
     table: PeerTable,
-    listed_at: Option<Instant>,
-    beats: tokio::time::Interval,
+    list_requested_at: Option<Instant>,
+    interval: tokio::time::Interval,
 }
 
-impl Pulse {
-    /// A pulse from the given addresses.
+impl HeartbeatSender {
+    /// Creates the sender of a process instance that serves requests at `address` and control
+    /// messages at `control`. Heartbeats are sent from `socket`.
     pub fn new(
         settings: &ProcessSettings,
         instance: Instance,
         address: SocketAddr,
         control: SocketAddr,
         socket: UdpSocket,
-    ) -> Pulse {
-        let mut beats = tokio::time::interval(Duration::from_millis(settings.heartbeat_ms));
-        beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        Pulse {
+    ) -> HeartbeatSender {
+        let mut interval = tokio::time::interval(Duration::from_millis(settings.heartbeat_ms));
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        HeartbeatSender {
             http: Client::open(),
             vm_list: settings.vm_list,
             socket: Arc::new(socket),
@@ -55,19 +56,19 @@
                 },
             },
             table: PeerTable::new(LivenessTimeouts::for_heartbeat(settings.heartbeat_ms)),
-            listed_at: None,
-            beats,
+            list_requested_at: None,
+            interval,
         }
     }
 
-    /// The socket, on which the heartbeats of others come in.
+    /// The socket, on which heartbeats of other processes also arrive.
     pub fn socket(&self) -> Arc<UdpSocket> {
         self.socket.clone()
     }
 
-    /// Waits for the next beat and sends it to every listed entry.
-    pub async fn beat(&mut self, state: PeerState, role_status: RoleStatus) {
-        self.beats.tick().await;
+    /// Waits for the next interval, then sends a heartbeat to every entry of the VM list.
+    pub async fn send_next(&mut self, state: PeerState, role_status: RoleStatus) {
+        self.interval.tick().await;
         if let Some(list) = self.refresh_list().await {
             self.table.set_vm_list(list);
         }
@@ -75,7 +76,7 @@
         self.send(state, role_status, &targets).await;
     }
 
-    /// Sends a heartbeat at once.
+    /// Sends a heartbeat immediately to all `targets` except this process.
     pub async fn send(
         &mut self,
         state: PeerState,
@@ -90,17 +91,18 @@
         }
     }
 
-    /// The platform's list, if it is time to read it and it can be read.
+    /// Reads the platform's VM list, at most once per [`LIST_INTERVAL`]. Returns `None` if the list
+    /// is not due or cannot be read.
     pub async fn refresh_list(&mut self) -> Option<VmList> {
-        if self.listed_at.is_some_and(|at| at.elapsed() < LIST_EVERY) {
+        if self.list_requested_at.is_some_and(|at| at.elapsed() < LIST_INTERVAL) {
             return None;
         }
-        self.listed_at = Some(Instant::now());
+        self.list_requested_at = Some(Instant::now());
         self.http.get(self.vm_list, "/vms", LIST_TIMEOUT).await.ok()
     }
 
-    /// Waits for the next beat.
-    pub async fn next(&mut self) {
-        self.beats.tick().await;
+    /// Waits for the next heartbeat interval.
+    pub async fn wait_for_interval(&mut self) {
+        self.interval.tick().await;
     }
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,11 +1,11 @@
-//! What both roles of the daemon share: health and metrics, heartbeats, shutdown.
+//! Parts shared by both roles of the daemon: health and metrics server, heartbeats and shutdown.
 
 mod admin;
 mod error;
-mod pulse;
+mod heartbeat_sender;
 mod shutdown;
 
 pub use admin::Admin;
 pub use error::DaemonError;
-pub use pulse::Pulse;
+pub use heartbeat_sender::HeartbeatSender;
 pub use shutdown::Shutdown;
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,13 +1,13 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The request to stop, by SIGTERM or SIGINT.
+/// Listens for SIGTERM and SIGINT, which request a shutdown.
 pub struct Shutdown {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Shutdown {
-    /// Starts to listen for the signals.
+    /// Installs the signal handlers.
     pub fn install() -> std::io::Result<Shutdown> {
         Ok(Shutdown {
             terminate: signal(SignalKind::terminate())?,
@@ -15,7 +15,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for one of the signals.
     pub async fn requested(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/src/endpoint/process.rs
+++ b/src/endpoint/process.rs
@@ -6,7 +6,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 
-use crate::daemon::{Admin, DaemonError, Pulse, Shutdown};
+use crate::daemon::{Admin, DaemonError, HeartbeatSender, Shutdown};
 use crate::endpoint::server;
 use crate::endpoint::{
     AttemptScheduler, Backend, OrderPolicy, SchedulerAction, SchedulerLimits, Submission,
@@ -63,7 +63,7 @@
     .await?;
     let admin = Admin::bind(settings.process.admin_listen, metrics).await?;
     let socket = UdpSocket::bind(peer_server.address).await?;
-    let pulse = Pulse::new(
+    let heartbeats = HeartbeatSender::new(
         &settings.process,
         instance,
         peer_server.address,
@@ -76,7 +76,8 @@
     admin.report(move || status_source.status());
     admin.set_ready(true);
     let heartbeat_sender = dispatcher.clone();
-    let heartbeat_task = tokio::spawn(async move { heartbeat_sender.send_heartbeats(pulse).await });
+    let heartbeat_task =
+        tokio::spawn(async move { heartbeat_sender.send_heartbeats(heartbeats).await });
     let tick_task = tokio::spawn(dispatcher.clone().schedule_periodically());
     shutdown.requested().await;
     log::info!("draining");
@@ -163,7 +164,7 @@
     /// Handles a control message.
     fn handle_control(self: &Arc<Dispatcher>, request: ControlRequest) -> ControlReply {
         match request {
-            ControlRequest::Ask { attempt, instance, epoch } => {
+            ControlRequest::Query { attempt, instance, epoch } => {
                 ControlReply::Report(self.scheduler().query(attempt, instance, epoch))
             }
             ControlRequest::Cancel { attempt } => {
@@ -176,7 +177,7 @@
                 self.carry_out(actions);
                 ControlReply::Done
             }
-            ControlRequest::Borrow(_) => ControlReply::NotMine,
+            ControlRequest::Borrow(_) => ControlReply::Declined,
         }
     }
 
@@ -304,7 +305,7 @@
         }
     }
 
-    async fn send_heartbeats(&self, mut pulse: Pulse) {
+    async fn send_heartbeats(&self, mut heartbeats: HeartbeatSender) {
         loop {
             let (state, role_status) = {
                 let scheduler = self.scheduler();
@@ -320,7 +321,7 @@
                 };
                 (state, role_status)
             };
-            pulse.beat(state, role_status).await;
+            heartbeats.send_next(state, role_status).await;
         }
     }
 
--- a/src/endpoint/server.rs
+++ b/src/endpoint/server.rs
@@ -7,7 +7,7 @@
 
 use super::process::Dispatcher;
 use crate::endpoint::Submission;
-use crate::http::{Body, json, lines, read_body, streamed};
+use crate::http::{Body, json, json_line, read_body, streamed};
 use crate::prelude::*;
 use crate::programs::{Attempt, AttemptFrame, FailureCause};
 
@@ -37,12 +37,12 @@
     match submission {
         Submission::Accepted => {
             let frames = UnboundedReceiverStream::new(frames);
-            Response::new(streamed(frames.map(|frame| Ok(lines(&frame)))))
+            Response::new(streamed(frames.map(|frame| Ok(json_line(&frame)))))
         }
         Submission::Rejected => {
             let cause = FailureCause::Rejected;
             let frame = AttemptFrame::Failed { cause, spent_tokens: Some(0) };
-            Response::new(crate::http::whole(lines(&frame)))
+            Response::new(crate::http::full(json_line(&frame)))
         }
         // The owner queries the attempt's state instead.
         Submission::Duplicate => json(StatusCode::CONFLICT, &"came before"),
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
-use crate::http::{Body, BodyFault, json as json_response};
+use crate::http::{Body, BodyError, json as json_response};
 use crate::prelude::*;
 use crate::programs::{
     ExecutionStatus, FinishReason, Message, Refusal, RefusalReason, Usage, Work,
@@ -204,12 +204,12 @@
     }
 }
 
-impl From<BodyFault> for ApiError {
-    fn from(fault: BodyFault) -> ApiError {
+impl From<BodyError> for ApiError {
+    fn from(fault: BodyError) -> ApiError {
         ApiError::not_run(match fault {
-            BodyFault::TooLarge => ApiErrorCode::TooLarge,
-            BodyFault::TooSlow => ApiErrorCode::TooSlow,
-            BodyFault::Cut => ApiErrorCode::BadRequest,
+            BodyError::TooLarge => ApiErrorCode::TooLarge,
+            BodyError::TimedOut => ApiErrorCode::TooSlow,
+            BodyError::Incomplete => ApiErrorCode::BadRequest,
         })
     }
 }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -163,10 +163,10 @@
     let header = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let key = header.and_then(|value| value.strip_prefix("Bearer "));
     let key = key.ok_or(ApiError::not_run(ApiErrorCode::BadKey))?;
-    let book = entry.current_book();
-    let found = book.authenticate(&KeyDigest::of_key(key.trim()));
+    let config_state = entry.current_config_state();
+    let found = config_state.authenticate(&KeyDigest::of_key(key.trim()));
     let (workspace, key) = found.ok_or(ApiError::not_run(ApiErrorCode::BadKey))?;
-    let contract = book.contract(&workspace).cloned();
+    let contract = config_state.contract(&workspace).cloned();
     let contract = contract.ok_or(ApiError::not_run(ApiErrorCode::BadKey))?;
     Ok((Caller { workspace, key }, contract))
 }
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use crate::contracts::{Book, BookSnapshot, ConfigRecord};
+use crate::contracts::{ConfigRecord, ConfigSnapshot, ConfigState};
 use crate::entry::freshness::{Freshness, PeerConfig, evaluate_freshness};
 use crate::entry::peers::CONFIG_PATH;
 use crate::entry::state::Entry;
@@ -45,13 +45,14 @@
     loop {
         tokio::time::sleep(RETRY_INTERVAL).await;
         if let Freshness::FetchFrom(address) = entry.config_freshness() {
-            let fetched = entry.http.get::<BookSnapshot>(address, CONFIG_PATH, FETCH_TIMEOUT).await;
+            let fetched =
+                entry.http.get::<ConfigSnapshot>(address, CONFIG_PATH, FETCH_TIMEOUT).await;
             if let Ok(snapshot) = fetched {
-                entry.replace_book(Book::from(&snapshot));
+                entry.replace_config_state(ConfigState::from(&snapshot));
             }
         }
         if entry.should_write_snapshot() {
-            let record = ConfigRecord::Snapshot(entry.current_book().snapshot());
+            let record = ConfigRecord::Snapshot(entry.current_config_state().snapshot());
             if entry.log.append(CONFIG_STREAM, &[record]).await.is_ok() {
                 entry.config_stream_status().uncovered_since = None;
             }
@@ -68,7 +69,7 @@
     let wait_ms = MAX_READ_WAIT_MS.min(entry.settings.config_stale_ms / 4);
     let wait = Duration::from_millis(wait_ms);
     loop {
-        let from = entry.current_book().through().plus(1);
+        let from = entry.current_config_state().through().plus(1);
         let sent_at = entry.clock.now();
         match entry.log.read::<ConfigRecord>(CONFIG_STREAM, from, wait).await {
             Ok(page) => {
@@ -89,17 +90,17 @@
 
 fn apply_page(entry: &Entry, sent_at: TimeMs, from: Offset, page: &Page<ConfigRecord>) {
     let records = page.records.iter().map(|stored| (stored.offset, &stored.data));
-    let book = match page.earliest > from {
-        true => Book::of_stream(page.earliest, records),
+    let config_state = match page.earliest > from {
+        true => ConfigState::from_records(page.earliest, records),
         false => {
-            let mut book = Book::clone(&entry.current_book());
+            let mut config_state = ConfigState::clone(&entry.current_config_state());
             records.for_each(|(offset, record)| {
-                book.apply(offset, record);
+                config_state.apply(offset, record);
             });
-            Some(book)
+            Some(config_state)
         }
     };
-    let Some(book) = book else {
+    let Some(config_state) = config_state else {
         log::error!(
             earliest = page.earliest.0;
             "configuration records expired unread; keeping the configuration in force"
@@ -112,17 +113,17 @@
         entry.config_stream_status().read_at = Some(sent_at);
     }
     update_uncovered_since(&mut entry.config_stream_status(), page);
-    entry.replace_book(book);
+    entry.replace_config_state(config_state);
 }
 
 impl Entry {
     /// Replaces the configuration in force if the given one is newer.
-    fn replace_book(&self, book: Book) {
-        let through = book.through();
-        let is_newer = self.book.send_if_modified(|current| {
+    fn replace_config_state(&self, config_state: ConfigState) {
+        let through = config_state.through();
+        let is_newer = self.config_state.send_if_modified(|current| {
             let is_newer = through > current.through();
             if is_newer {
-                *current = Arc::new(book);
+                *current = Arc::new(config_state);
             }
             is_newer
         });
@@ -148,7 +149,7 @@
     }
 
     fn config_freshness(&self) -> Freshness {
-        let local = (self.current_book().through(), self.config_age_ms());
+        let local = (self.current_config_state().through(), self.config_age_ms());
         let now = self.clock.now();
         let peers = self.peers();
         let pause_detector = self.pause_detector();
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -8,12 +8,12 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-use crate::daemon::Pulse;
+use crate::daemon::HeartbeatSender;
 use crate::entry::core::Command;
 use crate::entry::forward::{ENDS_PATH, TURNS_PATH};
 use crate::entry::state::Entry;
 use crate::entry::turn_message::TurnMessage;
-use crate::http::{Body, json, lines, read_body, streamed};
+use crate::http::{Body, json, json_line, read_body, streamed};
 use crate::membership::{Heartbeat, PeerState, RoleStatus};
 use crate::prelude::*;
 use crate::programs::Reply;
@@ -30,7 +30,9 @@
 pub(super) async fn handle(entry: Arc<Entry>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::POST, TURNS_PATH) => handle_turn(entry, request).await,
-        (&Method::GET, CONFIG_PATH) => json(StatusCode::OK, &entry.current_book().snapshot()),
+        (&Method::GET, CONFIG_PATH) => {
+            json(StatusCode::OK, &entry.current_config_state().snapshot())
+        }
         (&Method::GET, STATUS_PATH) => json(StatusCode::OK, &entry.status()),
         (&Method::POST, ENDS_PATH) => handle_end(entry, request).await,
         _ => json(StatusCode::NOT_FOUND, &"no such call"),
@@ -66,7 +68,7 @@
 ) -> Response<Body> {
     let _ = entry.commands.send(command);
     let replies = UnboundedReceiverStream::new(receiver);
-    Response::new(streamed(replies.map(|reply| Ok(lines(&reply)))))
+    Response::new(streamed(replies.map(|reply| Ok(json_line(&reply)))))
 }
 
 /// Receives the heartbeats of other processes. Never returns.
@@ -99,10 +101,10 @@
 }
 
 /// Sends this entry's heartbeats and updates the peer table. Never returns.
-pub(super) async fn send_heartbeats(entry: Arc<Entry>, mut pulse: Pulse) {
+pub(super) async fn send_heartbeats(entry: Arc<Entry>, mut heartbeats: HeartbeatSender) {
     loop {
-        pulse.next().await;
-        if let Some(list) = pulse.refresh_list().await {
+        heartbeats.wait_for_interval().await;
+        if let Some(list) = heartbeats.refresh_list().await {
             entry.peers().set_vm_list(list);
         }
         let targets = {
@@ -115,7 +117,7 @@
             false => PeerState::Live,
         };
         let role_status = RoleStatus::Entry {
-            config: entry.current_book().through(),
+            config: entry.current_config_state().through(),
             log_age_ms: entry.config_age_ms(),
             owned: entry
                 .owned_shards()
@@ -123,6 +125,6 @@
                 .map(|(shard, owned)| (*shard, owned.epoch))
                 .collect(),
         };
-        pulse.send(state, role_status, &targets).await;
+        heartbeats.send(state, role_status, &targets).await;
     }
 }
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -4,11 +4,11 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use crate::daemon::{Admin, DaemonError, Pulse, Shutdown};
+use crate::daemon::{Admin, DaemonError, HeartbeatSender, Shutdown};
 use crate::entry::core::{Command, Core};
 use crate::entry::state::Entry;
 use crate::entry::{callers, config, peers};
-use crate::http::{ServerLimits, Serving, serve};
+use crate::http::{RunningServer, ServerLimits, serve};
 use crate::link::{ControlReply, ControlRequest, LinkServer};
 use crate::membership::LivenessTimeouts;
 use crate::prelude::*;
@@ -37,15 +37,20 @@
     let admin = Admin::bind(settings.process.admin_listen, metrics).await?;
     let socket = UdpSocket::bind(peer_server.address).await?;
     let process = &settings.process;
-    let pulse =
-        Pulse::new(process, entry.instance, peer_server.address, control_server.address, socket);
+    let heartbeats = HeartbeatSender::new(
+        process,
+        entry.instance,
+        peer_server.address,
+        control_server.address,
+        socket,
+    );
     let tasks = [
         tokio::spawn(Core::new(entry.clone()).run(command_queue)),
         tokio::spawn(config::follow_stream(entry.clone())),
         tokio::spawn(config::maintain(entry.clone())),
         tokio::spawn(peers::run_pause_detector(entry.clone())),
-        tokio::spawn(peers::receive_heartbeats(entry.clone(), pulse.socket())),
-        tokio::spawn(peers::send_heartbeats(entry.clone(), pulse)),
+        tokio::spawn(peers::receive_heartbeats(entry.clone(), heartbeats.socket())),
+        tokio::spawn(peers::send_heartbeats(entry.clone(), heartbeats)),
     ];
     let caller_server = listen_for_callers(&entry).await?;
     let addresses = [("callers", caller_server.address), ("peer", peer_server.address)];
@@ -76,13 +81,13 @@
 async fn handle_control(entry: Arc<Entry>, request: ControlRequest) -> ControlReply {
     match request {
         ControlRequest::Borrow(borrow_request) => entry.lend(borrow_request).await,
-        ControlRequest::Ask { .. }
+        ControlRequest::Query { .. }
         | ControlRequest::Cancel { .. }
-        | ControlRequest::Free { .. } => ControlReply::NotMine,
+        | ControlRequest::Free { .. } => ControlReply::Declined,
     }
 }
 
-async fn listen_for_callers(entry: &Arc<Entry>) -> std::io::Result<Serving> {
+async fn listen_for_callers(entry: &Arc<Entry>) -> std::io::Result<RunningServer> {
     let limits = ServerLimits {
         header_timeout: Duration::from_millis(entry.settings.receive_timeout_ms),
         ..ServerLimits::default()
@@ -115,7 +120,7 @@
 
 /// Drains the entry in this order: its callers' requests, its shards, and the requests that other
 /// entries forwarded for those shards.
-async fn drain(entry: &Arc<Entry>, caller_server: Serving, peer_server: Serving) {
+async fn drain(entry: &Arc<Entry>, caller_server: RunningServer, peer_server: RunningServer) {
     entry.leave();
     caller_server.shut_down().await;
     let _ = entry.commands.send(Command::ReleaseAll);
--- a/src/entry/rates.rs
+++ b/src/entry/rates.rs
@@ -142,13 +142,13 @@
     async fn borrow_remote(&self, vm: &VmName, request: ControlRequest) -> ControlReply {
         let peer = self.peers().peer_on(vm).map(|p| (p.heartbeat.control, p.heartbeat.address));
         let Some((control, address)) = peer else {
-            return ControlReply::NotMine;
+            return ControlReply::Declined;
         };
         match self.links.ask(control, request, PEER_TIMEOUT).await {
             Ok(reply) => reply,
             Err(_) => {
                 self.probe_peer(vm, address).await;
-                ControlReply::NotMine
+                ControlReply::Declined
             }
         }
     }
@@ -166,21 +166,22 @@
     /// Answers a borrower, which may be this entry itself.
     pub async fn lend(self: &Arc<Entry>, borrow_request: BorrowRequest) -> ControlReply {
         let shard = self.rate_shard(&borrow_request.workspace);
-        let Some(contract) = self.current_book().contract(&borrow_request.workspace).cloned()
+        let Some(contract) =
+            self.current_config_state().contract(&borrow_request.workspace).cloned()
         else {
-            return ControlReply::NotMine;
+            return ControlReply::Declined;
         };
         for _ in 0..MAX_CONFIRM_ATTEMPTS {
             if let Some(loan) = self.try_lend(shard, &contract, &borrow_request) {
                 return ControlReply::Lent(loan);
             }
             if self.locate(shard) != ShardLocation::Local {
-                return ControlReply::NotMine;
+                return ControlReply::Declined;
             }
             let _ = self.commands.send(Command::ConfirmOwnership { shard });
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        ControlReply::NotMine
+        ControlReply::Declined
     }
 
     /// Lends if this entry's ownership of the shard was confirmed recently enough. Requests a new
--- a/src/entry/responses.rs
+++ b/src/entry/responses.rs
@@ -8,12 +8,12 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, watch};
 
-use crate::contracts::Book;
+use crate::contracts::ConfigState;
 use crate::entry::api::{ApiError, ApiErrorCode, chunk, completion, last_chunk};
 use crate::entry::callers::Caller;
 use crate::entry::forward::{Call, forward};
 use crate::entry::state::Entry;
-use crate::http::{Body, json, streamed, whole};
+use crate::http::{Body, full, json, streamed};
 use crate::prelude::*;
 use crate::programs::{ExecutionStatus, Reply, TurnRequest, TurnResult};
 
@@ -29,7 +29,7 @@
 pub(super) struct ResponseBuilder {
     entry: Arc<Entry>,
     caller: Caller,
-    book: watch::Receiver<Arc<Book>>,
+    config_state: watch::Receiver<Arc<ConfigState>>,
     program: ProgramId,
     target: ModelName,
     /// Kind of the call, for metrics: model or service.
@@ -41,7 +41,7 @@
 impl ResponseBuilder {
     pub fn new(entry: Arc<Entry>, caller: Caller, turn: &TurnRequest) -> ResponseBuilder {
         ResponseBuilder {
-            book: entry.book.subscribe(),
+            config_state: entry.config_state.subscribe(),
             program: turn.program.clone(),
             target: turn.work.target().clone(),
             class: turn.work.class(),
@@ -57,7 +57,7 @@
         loop {
             match self.next_reply(&mut replies).await? {
                 Reply::Answer { turn, result: TurnResult::Served { status, body }, replayed } => {
-                    let mut response = Response::new(whole(body.to_string()));
+                    let mut response = Response::new(full(body.to_string()));
                     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
                     *response.status_mut() = status;
                     self.set_headers(&mut response, Some(turn), replayed);
@@ -83,7 +83,7 @@
         // Waits for the first reply before it chooses the status: a refusal is answered with its
         // own status, not as an event in a successful response.
         let first = self.next_reply(&mut replies).await?;
-        let mut response = Response::new(whole(Bytes::new()));
+        let mut response = Response::new(full(Bytes::new()));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
         let replayed = matches!(first, Reply::Answer { replayed: true, .. });
         self.set_headers(&mut response, None, replayed);
@@ -173,7 +173,7 @@
     ) -> Result<Reply, ApiError> {
         let reply = tokio::select! {
             reply = replies.recv() => reply,
-            error = until_key_revoked(&mut self.book, &self.caller) => return Err(error),
+            error = until_key_revoked(&mut self.config_state, &self.caller) => return Err(error),
         };
         match reply {
             Some(Reply::Refused(refusal)) => Err(refusal.into()),
@@ -218,9 +218,13 @@
     }
 }
 
-async fn until_key_revoked(book: &mut watch::Receiver<Arc<Book>>, caller: &Caller) -> ApiError {
-    let is_valid = |book: &Arc<Book>| book.holds(&caller.workspace, &caller.key);
-    if book.wait_for(|book| !is_valid(book)).await.is_err() {
+async fn until_key_revoked(
+    config_state: &mut watch::Receiver<Arc<ConfigState>>,
+    caller: &Caller,
+) -> ApiError {
+    let is_valid =
+        |config_state: &Arc<ConfigState>| config_state.is_key_valid(&caller.workspace, &caller.key);
+    if config_state.wait_for(|config_state| !is_valid(config_state)).await.is_err() {
         std::future::pending::<()>().await;
     }
     ApiError {
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::admission::{Borrower, MIN_CALLS_TO_PREFETCH};
-use crate::contracts::Book;
+use crate::contracts::ConfigState;
 use crate::entry::config::ConfigStreamStatus;
 use crate::entry::core::Command;
 use crate::entry::pause_detector::PauseDetector;
@@ -37,7 +37,7 @@
     pub log: LogClient,
     pub commands: mpsc::UnboundedSender<Command>,
     /// The configuration in force.
-    pub book: watch::Sender<Arc<Book>>,
+    pub config_state: watch::Sender<Arc<ConfigState>>,
     config_stream_status: Mutex<ConfigStreamStatus>,
     peers: Mutex<PeerTable>,
     pause_detector: Mutex<PauseDetector>,
@@ -102,7 +102,7 @@
             links: LinkPool::default(),
             log,
             commands,
-            book: watch::Sender::new(Arc::new(Book::default())),
+            config_state: watch::Sender::new(Arc::new(ConfigState::default())),
             config_stream_status: Mutex::default(),
             peers: Mutex::new(PeerTable::new(timeouts)),
             pause_detector: Mutex::new(PauseDetector::new(settings.process.heartbeat_ms)),
@@ -157,8 +157,8 @@
         lock(&self.config_stream_status)
     }
 
-    pub fn current_book(&self) -> Arc<Book> {
-        self.book.borrow().clone()
+    pub fn current_config_state(&self) -> Arc<ConfigState> {
+        self.config_state.borrow().clone()
     }
 
     /// Allows shards to be claimed and callers to be admitted.
@@ -189,7 +189,7 @@
             "role": "entry",
             "vm": self.vm(),
             "ready": self.is_ready() && !self.is_leaving(),
-            "config": self.current_book().through(),
+            "config": self.current_config_state().through(),
             "config_age_ms": self.config_age_ms(),
             "log_failing": self.is_log_failing(),
             "shards": shards,
@@ -221,7 +221,7 @@
         let local_crashes = lock(&self.local_crashes);
         let crashes =
             local_crashes.get(&(workspace.clone(), *digest)).map_or(&[][..], Vec::as_slice);
-        self.book.borrow().crash_status(workspace, digest, crashes)
+        self.config_state.borrow().crash_status(workspace, digest, crashes)
     }
 
     /// Counts a crash record that is to be appended.
@@ -243,8 +243,8 @@
     pub fn crashed_vms(&self, workspace: &WorkspaceId, digest: &Digest) -> Vec<VmName> {
         let local_crashes = lock(&self.local_crashes);
         let local = local_crashes.get(&(workspace.clone(), *digest)).into_iter().flatten();
-        let book = self.book.borrow();
-        let recorded = book.crashes(workspace, digest).iter();
+        let config_state = self.config_state.borrow();
+        let recorded = config_state.crashes(workspace, digest).iter();
         recorded.chain(local).map(|crash| crash.vm.clone()).collect()
     }
 
--- a/src/entry/tasks.rs
+++ b/src/entry/tasks.rs
@@ -146,7 +146,7 @@
         // A VM runs one process at a time, so the instance that got the attempt has ended.
         Some((instance, _)) if instance != endpoint.instance => AttemptReport::Forgotten,
         Some((instance, control)) => {
-            let control_request = ControlRequest::Ask { attempt, instance, epoch };
+            let control_request = ControlRequest::Query { attempt, instance, epoch };
             match owner.entry.links.ask(control, control_request, PEER_TIMEOUT).await {
                 Ok(ControlReply::Report(report)) => report,
                 Ok(_) | Err(_) => AttemptReport::NoAnswer,
@@ -217,8 +217,9 @@
 }
 
 async fn remove_once_applied(entry: &Entry, record: &ConfigRecord, offset: Offset) {
-    let mut book = entry.book.subscribe();
-    let is_applied = book.wait_for(|book| book.through() >= offset).await.is_ok();
+    let mut config_state = entry.config_state.subscribe();
+    let is_applied =
+        config_state.wait_for(|config_state| config_state.through() >= offset).await.is_ok();
     if let (true, ConfigRecord::Suspect { workspace, digest, .. }) = (is_applied, record) {
         entry.remove_local_crashes(workspace, digest);
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -8,7 +8,7 @@
 use super::ports::RequestContext;
 use super::state::Gateway;
 use super::{ResponseKind, RoutingDecision};
-use crate::http::{ConnectFault, Connection, Outgoing};
+use crate::http::{ConnectError, Connection, RequestBody};
 use crate::prelude::*;
 use crate::replicas::ReplicaKey;
 
@@ -98,7 +98,7 @@
             (false, _) => self.gateway.directory.borrow_mut().record_success(now, self.endpoint),
         }
         if let Some(connection) = self.connection.take() {
-            self.gateway.connections.keep(now, connection);
+            self.gateway.connections.put_back(now, connection);
         }
     }
 
@@ -188,7 +188,7 @@
     };
     let mut connection = match gateway.connections.take(gateway.now(), address).await {
         Ok(connection) => connection,
-        Err(ConnectFault::Refused | ConnectFault::Unreachable) => {
+        Err(ConnectError::Refused | ConnectError::Unreachable) => {
             return AttemptOutcome::NeverSent { stale_connection: false };
         }
     };
@@ -198,7 +198,7 @@
     // Opening the connection may have taken long: meanwhile, the endpoint's failure domain may have
     // been evacuated, or other requests may have used up the limit of a cold endpoint.
     if !gateway.directory.borrow().may_send(gateway.now(), endpoint) {
-        gateway.connections.keep(gateway.now(), connection);
+        gateway.connections.put_back(gateway.now(), connection);
         return AttemptOutcome::Withheld;
     }
     let mut in_flight = InFlightGuard::open(gateway, endpoint_request, endpoint, id);
@@ -222,7 +222,7 @@
                 ResponseKind::Untrusted => AttemptOutcome::Unknown,
                 ResponseKind::Own => {
                     if let Some(idle_ms) = keep_alive_ms(&head.headers) {
-                        connection.idle_most_ms = idle_ms;
+                        connection.max_idle_ms = idle_ms;
                     }
                     in_flight.connection = Some(connection);
                     AttemptOutcome::Responded(Box::new(EndpointResponse { head, body, in_flight }))
@@ -267,8 +267,8 @@
     endpoint_request: &EndpointRequest,
     id: &str,
     last_event: Option<&str>,
-) -> Option<Request<Outgoing>> {
-    let mut request = Request::new(Outgoing::whole(endpoint_request.body.clone()));
+) -> Option<Request<RequestBody>> {
+    let mut request = Request::new(RequestBody::full(endpoint_request.body.clone()));
     *request.method_mut() = endpoint_request.method.clone();
     *request.uri_mut() = endpoint_request.uri.clone();
     *request.headers_mut() = endpoint_request.headers.clone();
--- a/src/gateway/find_turn.rs
+++ b/src/gateway/find_turn.rs
@@ -13,7 +13,7 @@
 use super::message::{FindTurn, FoundTurn};
 use super::owned_shard::{OwnedShard, Stage};
 use super::state::Gateway;
-use crate::http::Outgoing;
+use crate::http::RequestBody;
 use crate::turns::{Record, Turn, TurnKey};
 
 /// Path at which an entry answers turn lookups of its peers.
@@ -168,10 +168,10 @@
     turn: TurnKey,
 ) -> Option<FoundTurn> {
     let lookup = postcard::to_allocvec(&FindTurn { turn }).ok()?;
-    let request = Request::post(FIND_TURN_PATH).body(Outgoing::whole(lookup)).ok()?;
+    let request = Request::post(FIND_TURN_PATH).body(RequestBody::full(lookup)).ok()?;
     let mut connection = gateway.connections.take(gateway.now(), address).await.ok()?;
     let response = connection.sender.send_request(request).await.ok()?;
     let body = Limited::new(response.into_body(), MAX_CHAIN_BYTES).collect().await.ok()?;
-    gateway.connections.keep(gateway.now(), connection);
+    gateway.connections.put_back(gateway.now(), connection);
     postcard::from_bytes(&body.to_bytes()).ok()
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -16,7 +16,7 @@
 use super::state::Gateway;
 use super::turn::until_deadline;
 use super::{Refusal, ResponseBody, RoutingDecision};
-use crate::http::{ConnectFault, Gate, Outgoing};
+use crate::http::{BodyGate, ConnectError, RequestBody};
 use crate::mechanisms::Mechanism;
 use crate::prelude::*;
 
@@ -125,7 +125,7 @@
                 }
                 SendOutcome::ConnectFailed(fault) => {
                     gateway.shards.forget_owner(owner.address, None);
-                    if fault == ConnectFault::Refused {
+                    if fault == ConnectError::Refused {
                         deregister_dead_entry(gateway, owner.address).await;
                     }
                 }
@@ -177,7 +177,7 @@
     /// has not run there and never will.
     NotAccepted,
     /// No connection could be opened.
-    ConnectFailed(ConnectFault),
+    ConnectFailed(ConnectError),
 }
 
 /// Sends a request to another entry: first the head, and the body only after the entry asks for it
@@ -196,7 +196,7 @@
         Ok(connection) => connection,
         Err(fault) => return Ok(SendOutcome::ConnectFailed(fault)),
     };
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(BodyGate::default());
     if forwarded.body.is_empty() {
         gate.open();
     }
@@ -211,7 +211,7 @@
         response = response.as_mut() => Some(response),
         _ = &mut accepted => None,
         () = tokio::time::sleep(Duration::from_millis(ACCEPT_TIMEOUT_MS)) => {
-            if gate.shut() {
+            if gate.close() {
                 return Ok(SendOutcome::NotAccepted);
             }
             None
@@ -224,7 +224,7 @@
     let response = match response? {
         Ok(response) => response,
         Err(mut fault) => {
-            return match fault.take_message().is_some() || gate.shut() {
+            return match fault.take_message().is_some() || gate.close() {
                 true => Ok(SendOutcome::NotServed),
                 false => Err(Refusal::OutcomeUnknown),
             };
@@ -232,7 +232,7 @@
     };
     let (head, body) = response.into_parts();
     if head.headers.contains_key(NOT_OWNER_HEADER) {
-        gate.shut();
+        gate.close();
         return Ok(SendOutcome::NotServed);
     }
     let (chunk_sender, chunk_receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
@@ -241,7 +241,7 @@
     let gateway = gateway.clone();
     tokio::task::spawn_local(async move {
         if copy.await {
-            gateway.connections.keep(gateway.now(), connection);
+            gateway.connections.put_back(gateway.now(), connection);
         }
     });
     let mut response = Response::new(ResponseBody::streaming(chunk_receiver));
@@ -278,11 +278,11 @@
 fn build_request(
     gateway: &Gateway,
     forwarded: &ForwardedRequest,
-    gate: Arc<Gate>,
+    gate: Arc<BodyGate>,
     accept_sender: oneshot::Sender<()>,
-) -> Option<Request<Outgoing>> {
+) -> Option<Request<RequestBody>> {
     let left_ms = forwarded.deadline.since(gateway.now());
-    let mut request = Request::new(Outgoing::held(forwarded.body.clone(), gate.clone()));
+    let mut request = Request::new(RequestBody::gated(forwarded.body.clone(), gate.clone()));
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.uri.clone();
     let mut headers = forwarded.headers.clone();
--- a/src/gateway/handoff.rs
+++ b/src/gateway/handoff.rs
@@ -18,7 +18,7 @@
 use super::server::status_response;
 use super::state::Gateway;
 use crate::catalog::Regions;
-use crate::http::Outgoing;
+use crate::http::RequestBody;
 use crate::prelude::*;
 use crate::turns::{Ledger, ProgramKey, Record, Turn, TurnKey};
 
@@ -93,12 +93,12 @@
     address: std::net::SocketAddr,
     body: Bytes,
 ) -> Option<StatusCode> {
-    let request = Request::post(HANDOFF_PATH).body(Outgoing::whole(body)).ok()?;
+    let request = Request::post(HANDOFF_PATH).body(RequestBody::full(body)).ok()?;
     let mut connection = gateway.connections.take(gateway.now(), address).await.ok()?;
     let answer = connection.sender.send_request(request).await.ok()?;
     let (head, body) = answer.into_parts();
     body.collect().await.ok()?;
-    gateway.connections.keep(gateway.now(), connection);
+    gateway.connections.put_back(gateway.now(), connection);
     Some(head.status)
 }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -19,7 +19,7 @@
 use super::serve::{serve_caller, serve_forwarded, serve_relayed};
 use super::state::Gateway;
 use super::{GatewayError, ResponseBody};
-use crate::http::tune;
+use crate::http::set_socket_options;
 use crate::telemetry::Metrics;
 
 /// Idle timeout announced to callers. Each connection holds buffers, and a caller opens one for
@@ -71,7 +71,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tune(&stream);
+                set_socket_options(&stream);
                 let serving = serve_connection(
                     gateway.clone(),
                     stream,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -14,7 +14,7 @@
 use super::suspects::Suspects;
 use super::{GatewaySettings, Protocol, Store};
 use crate::catalog::Regions;
-use crate::http::Connections;
+use crate::http::ConnectionPool;
 use crate::mechanisms::Mechanism;
 use crate::prelude::*;
 use crate::replicas::{Directory, Placement, PlacementRequest, ReplicaKey};
@@ -30,7 +30,7 @@
     pub(super) endpoint_list: EndpointListStatus,
     pub(super) directory: RefCell<Directory>,
     pub(super) placement: RefCell<Placement>,
-    pub(super) connections: Rc<Connections>,
+    pub(super) connections: Rc<ConnectionPool>,
     pub(super) rates: RefCell<RateLimiter>,
     pub(super) suspects: RefCell<Suspects>,
     pub(super) shards: ShardTable,
@@ -105,7 +105,7 @@
     /// Chooses the best endpoint for a request.
     pub(super) fn choose(&self, want: &PlacementRequest) -> Option<ReplicaKey> {
         let now = self.now();
-        let connected = |address| self.connections.has_kept(now, address);
+        let connected = |address| self.connections.has_idle(now, address);
         self.placement.borrow_mut().choose(now, &self.directory.borrow(), want, connected)
     }
 
@@ -143,7 +143,7 @@
             Some(all_closed) => all_closed,
             None => match self.connections.open(address).await {
                 Ok(connection) => {
-                    self.connections.keep(self.now(), connection);
+                    self.connections.put_back(self.now(), connection);
                     false
                 }
                 Err(_) => true,
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -11,44 +11,44 @@
 
 use crate::prelude::*;
 
-/// A body that is sent.
+/// The body of a response, or of a request sent by [`Client`](super::Client).
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// Why a body could not be read.
+/// Why the body of a request could not be read.
 #[value]
 #[derive(Copy)]
-pub enum BodyFault {
-    /// Larger than allowed.
+pub enum BodyError {
+    /// The body exceeds the size limit.
     TooLarge,
-    /// Not sent in time.
-    TooSlow,
-    /// Cut off.
-    Cut,
+    /// The body did not arrive within the timeout.
+    TimedOut,
+    /// The connection failed before the end of the body.
+    Incomplete,
 }
 
-/// A body that is known at once.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+/// A body whose bytes are all available.
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// No body.
+/// An empty body.
 pub fn empty() -> Body {
-    whole(Bytes::new())
+    full(Bytes::new())
 }
 
-/// A body sent as it comes. An error in the stream cuts the connection, so that the reader sees
-/// that the body is not whole.
+/// A body sent chunk by chunk. An error in the stream closes the connection, so that the recipient
+/// can tell that the body is incomplete.
 pub fn streamed<S>(stream: S) -> Body
 where
     S: Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync + 'static,
 {
-    BodyExt::boxed(StreamBody::new(stream.map(|part| part.map(Frame::data))))
+    BodyExt::boxed(StreamBody::new(stream.map(|chunk| chunk.map(Frame::data))))
 }
 
-/// A JSON response.
+/// A response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole(bytes));
+    let mut response = Response::new(full(bytes));
     *response.status_mut() = status;
     response.headers_mut().insert(
         hyper::header::CONTENT_TYPE,
@@ -57,24 +57,24 @@
     response
 }
 
-/// A value as one line of JSON.
-pub fn lines<T: Serialize>(value: &T) -> Bytes {
+/// Serializes a value as one line of JSON, with the line break.
+pub fn json_line<T: Serialize>(value: &T) -> Bytes {
     let mut bytes = serde_json::to_vec(value).unwrap_or_default();
     bytes.push(b'\n');
     bytes.into()
 }
 
-/// Reads a whole body, no larger and no slower than allowed.
+/// Reads a body to its end, up to `max_bytes` and within `timeout`.
 pub async fn read_body(
     body: Incoming,
     max_bytes: usize,
     timeout: Duration,
-) -> Result<Bytes, BodyFault> {
+) -> Result<Bytes, BodyError> {
     let collected = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(timeout, collected).await {
-        Err(_) => Err(BodyFault::TooSlow),
+        Err(_) => Err(BodyError::TimedOut),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(fault)) if fault.is::<LengthLimitError>() => Err(BodyFault::TooLarge),
-        Ok(Err(_)) => Err(BodyFault::Cut),
+        Ok(Err(fault)) if fault.is::<LengthLimitError>() => Err(BodyError::TooLarge),
+        Ok(Err(_)) => Err(BodyError::Incomplete),
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -11,43 +11,43 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Body, whole};
+use super::{Body, full};
 use crate::prelude::*;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a call to another process got no good answer.
+/// Why a call to another process failed.
 #[value]
 #[derive(Copy)]
 pub enum CallError {
-    /// No connection: the call was not sent.
+    /// The connection could not be opened, so the call was not sent.
     NotSent,
-    /// Sent, but no whole answer came.
+    /// The connection failed before the response was complete. The call may have been executed.
     NoAnswer,
-    /// No answer in time.
+    /// No complete response within the timeout. The call may have been executed.
     TimedOut,
-    /// An answer that is not what the protocol allows.
+    /// The response could not be decoded, or the request could not be built.
     BadAnswer,
-    /// An answer with this status.
+    /// A response with a status other than 200.
     Status(u16),
 }
 
 impl CallError {
-    /// Whether the other side certainly did not get the call.
+    /// Whether the call certainly did not reach the other process.
     pub fn not_sent(self) -> bool {
         self == CallError::NotSent
     }
 }
 
-/// A pooled HTTP client for calls by IP address.
+/// An HTTP client with a connection pool, for calls by IP address.
 #[derive(Clone)]
 pub struct Client {
     inner: PooledClient<HttpConnector, Body>,
 }
 
 impl Client {
-    /// Opens a client.
+    /// Creates a client without open connections.
     pub fn open() -> Client {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -59,7 +59,7 @@
         Client { inner }
     }
 
-    /// Sends a call and returns the response once its head is there.
+    /// Sends a request and returns the response as soon as its head has arrived.
     pub async fn start(
         &self,
         method: Method,
@@ -71,7 +71,7 @@
             .method(method)
             .uri(format!("http://{address}{path}"))
             .header(hyper::header::CONTENT_TYPE, "application/json")
-            .body(whole(body))
+            .body(full(body))
             .map_err(|_| CallError::BadAnswer)?;
         self.inner.request(request).await.map_err(|fault| match fault.is_connect() {
             true => CallError::NotSent,
@@ -79,16 +79,17 @@
         })
     }
 
-    /// Sends a JSON call and reads its JSON answer, within `timeout` altogether.
+    /// Sends a request with a JSON body and decodes the JSON response. `timeout` covers the whole
+    /// exchange.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        request_body: &Q,
         timeout: Duration,
     ) -> Result<A, CallError> {
-        let body = serde_json::to_vec(question).map_err(|_| CallError::BadAnswer)?;
+        let body = serde_json::to_vec(request_body).map_err(|_| CallError::BadAnswer)?;
         let call = async {
             let response = self.start(method, address, path, body.into()).await?;
             let status = response.status();
@@ -102,7 +103,7 @@
         tokio::time::timeout(timeout, call).await.unwrap_or(Err(CallError::TimedOut))
     }
 
-    /// Asks for a JSON answer.
+    /// Sends a GET request and decodes the JSON response.
     pub async fn get<A: DeserializeOwned>(
         &self,
         address: SocketAddr,
--- a/src/http/line_reader.rs
+++ b/src/http/line_reader.rs
@@ -2,7 +2,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Reads a body line by line, as it comes.
+/// Reads a body line by line as it arrives.
 pub struct LineReader {
     body: Incoming,
     buffer: BytesMut,
@@ -10,14 +10,14 @@
 }
 
 impl LineReader {
-    /// A reader of lines of at most `max_bytes`: a sender that never ends its line must not fill
-    /// the memory.
+    /// Creates a reader of lines of at most `max_bytes`. The limit bounds the memory used for a
+    /// sender that never ends its line.
     pub fn open(body: Incoming, max_bytes: usize) -> LineReader {
         LineReader { body, buffer: BytesMut::new(), max_bytes }
     }
 
-    /// The next line with its end; `None` if the body ended, was cut, or the line is too long.
-    /// Dropped while it waits, it loses nothing.
+    /// Reads the next line, including its line break. Returns `None` if the body has ended, the
+    /// connection failed or the line is too long. Cancel safe: received bytes stay in the buffer.
     pub async fn next(&mut self) -> Option<BytesMut> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,15 +1,15 @@
-//! HTTP plumbing that several slices share, on top of `hyper`.
+//! HTTP client, server and body types shared by several modules, on top of `hyper`.
 
 mod body;
 mod client;
 mod connections;
 mod line_reader;
-mod outgoing;
+mod request_body;
 mod server;
 
-pub use body::{Body, BodyFault, empty, json, lines, read_body, streamed, whole};
+pub use body::{Body, BodyError, empty, full, json, json_line, read_body, streamed};
 pub use client::{CallError, Client};
-pub use connections::{ConnectFault, Connection, Connections, tune};
+pub use connections::{ConnectError, Connection, ConnectionPool, set_socket_options};
 pub use line_reader::LineReader;
-pub use outgoing::{Gate, HeldBack, Outgoing};
-pub use server::{ServerLimits, Serving, serve};
+pub use request_body::{BodyGate, BodyGateClosed, RequestBody};
+pub use server::{RunningServer, ServerLimits, serve};
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -15,14 +15,14 @@
 
 use super::Body;
 
-/// Bounds of a server.
+/// Limits of an HTTP server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// How long a client may take to send its headers.
+    /// Time limit for a client to send the head of a request.
     pub header_timeout: Duration,
-    /// Connections at once; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Buffer of one connection, and so the largest head of a request.
+    /// Buffer size per connection, which also bounds the head of a request.
     pub buffer_bytes: usize,
 }
 
@@ -36,28 +36,28 @@
     }
 }
 
-/// A running server.
-pub struct Serving {
-    /// Where it listens.
+/// Handle of a running HTTP server.
+pub struct RunningServer {
+    /// The address on which the server listens.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Serving {
-    /// Accepts no more and waits until every response under way was sent.
+impl RunningServer {
+    /// Stops accepting connections and waits until all responses in flight have been sent.
     pub async fn shut_down(self) {
         let _ = self.stop.send(true);
         let _ = self.task.await;
     }
 }
 
-/// Serves HTTP/1.1 with one handler.
+/// Starts an HTTP/1.1 server that passes each request to `handler`.
 pub async fn serve<H, F>(
     address: SocketAddr,
     limits: ServerLimits,
     handler: H,
-) -> std::io::Result<Serving>
+) -> std::io::Result<RunningServer>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
@@ -65,11 +65,11 @@
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let (stop, stopped) = watch::channel(false);
-    let task = tokio::spawn(accept(listener, limits, handler, stopped));
-    Ok(Serving { address, stop, task })
+    let task = tokio::spawn(accept_connections(listener, limits, handler, stopped));
+    Ok(RunningServer { address, stop, task })
 }
 
-async fn accept<H, F>(
+async fn accept_connections<H, F>(
     listener: TcpListener,
     limits: ServerLimits,
     handler: H,
@@ -89,7 +89,7 @@
             _ = stopped.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors, most likely: a short pause beats a busy loop.
+            // Most likely the process is out of file descriptors; the pause avoids a busy loop.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
--- a/src/ids/mod.rs
+++ b/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things.
+//! Identifiers: checked names and typed numbers.
 
 mod names;
 mod numbers;
--- a/src/ids/names.rs
+++ b/src/ids/names.rs
@@ -4,15 +4,15 @@
 
 const MAX_NAME_BYTES: usize = 128;
 
-/// Why a text is no valid name.
+/// Why a text is not a valid name.
 #[value]
 #[derive(Copy)]
 pub enum InvalidName {
-    /// No characters at all.
+    /// The name has no characters.
     Empty,
-    /// Longer than 128 bytes.
+    /// The name is longer than 128 bytes.
     TooLong,
-    /// Something else than letters, digits, `-`, `_`, `.`, `:` (and, in program names, `/`).
+    /// A character other than ASCII letters, digits, `-`, `_`, `.`, `:` (and `/` in program names).
     Character(char),
 }
 
@@ -20,8 +20,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             InvalidName::Empty => f.write_str("a name is empty"),
-            InvalidName::TooLong => write!(f, "a name has more than {MAX_NAME_BYTES} bytes"),
-            InvalidName::Character(c) => write!(f, "a name holds the character {c:?}"),
+            InvalidName::TooLong => write!(f, "a name is longer than {MAX_NAME_BYTES} bytes"),
+            InvalidName::Character(c) => write!(
+                f,
+                "a name contains {c:?}; allowed are ASCII letters, digits, '-', '_', '.' and ':' \
+                 (in program names also '/')"
+            ),
         }
     }
 }
@@ -29,8 +33,8 @@
 impl std::error::Error for InvalidName {}
 
 fn check(text: &str, slash_allowed: bool) -> Result<(), InvalidName> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    let allowed = |c: char| plain(c) || (slash_allowed && c == '/');
+    let is_name_char = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    let allowed = |c: char| is_name_char(c) || (slash_allowed && c == '/');
     if text.is_empty() {
         return Err(InvalidName::Empty);
     }
@@ -51,7 +55,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks and takes a name.
+            /// Checks a name and wraps it.
             pub fn parse(text: &str) -> Result<$name, InvalidName> {
                 check(text, false)?;
                 Ok($name(text.into()))
@@ -72,46 +76,47 @@
 }
 
 text_name! {
-    /// A workspace: one customer, under one contract.
+    /// The name of a workspace: one customer with one contract.
     WorkspaceId
 }
 text_name! {
-    /// A VM, as the platform's list names it.
+    /// The name of a VM in the platform's VM list.
     VmName
 }
 text_name! {
-    /// What an endpoint serves: a model, or a plain service.
+    /// The name of the model or other service that an endpoint serves.
     ModelName
 }
 
-/// A program of one workspace. `root/child` names a sub-agent, which shares the root's budget.
+/// Identifies a program of a workspace. `root/child` names a sub-agent, which shares the budget of
+/// `root`.
 #[name]
 pub struct ProgramId {
-    /// The workspace whose key opened the program: names are scoped by it, so that two
-    /// workspaces that pick one name never meet.
+    /// The workspace whose API key opened the program. Names are scoped by workspace, so the same
+    /// name in two workspaces identifies two programs.
     pub workspace: WorkspaceId,
-    /// The name that the caller gave.
+    /// The name chosen by the caller.
     pub name: Arc<str>,
 }
 
 impl ProgramId {
-    /// Checks and takes a caller's name for a program.
+    /// Checks the name of a program and combines it with its workspace.
     pub fn parse(workspace: WorkspaceId, name: &str) -> Result<ProgramId, InvalidName> {
         check(name, true)?;
         Ok(ProgramId { workspace, name: name.into() })
     }
 
-    /// The name of the program that pays: the part before the first `/`.
+    /// The name of the root program, whose budget is charged: the part before the first `/`.
     pub fn root(&self) -> &str {
         self.name.split('/').next().unwrap_or(&self.name)
     }
 
-    /// The account that this program draws on.
+    /// The root program, whose budget this program shares.
     pub fn account(&self) -> ProgramId {
         ProgramId { workspace: self.workspace.clone(), name: self.root().into() }
     }
 
-    /// The shard of the program: one for a root and all its sub-agents.
+    /// The shard of the program. A root program and all its sub-agents are in the same shard.
     pub fn shard(&self, shards: u16) -> ShardId {
         let digest = Digest::of(&[self.workspace.as_str().as_bytes(), self.root().as_bytes()]);
         ShardId((digest.prefix() % u64::from(shards.max(1))) as u16)
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -22,35 +22,36 @@
 }
 
 number! {
-    /// A slice of all programs, owned by one entry at a time and recorded in one stream.
+    /// A shard: a subset of the programs, owned by one entry at a time and recorded in one stream.
     ShardId, u16
 }
 number! {
-    /// A position in a stream of the log. The first record stands at 1.
+    /// The position of a record in a stream of the log. The first record has offset 1.
     Offset, u64
 }
 number! {
-    /// The offset of the claim under which a shard is owned; a larger one fences a smaller one.
+    /// The epoch of a shard's ownership: the offset of the claim record. A larger epoch fences
+    /// smaller ones.
     Epoch, u64
 }
 number! {
-    /// One run of a process, drawn at random when it starts.
+    /// Identifies a process instance; drawn at random when the process starts.
     Instance, u64
 }
 number! {
-    /// The place of a call in its program, from 1.
+    /// The position of a turn in its program, starting at 1.
     TurnNo, u32
 }
 
 impl Offset {
-    /// The position `count` records further.
+    /// The offset `count` records later.
     pub fn plus(self, count: u64) -> Offset {
         Offset(self.0 + count)
     }
 }
 
 impl Instance {
-    /// Draws the number of a new run.
+    /// Draws the number of a new process instance.
     pub fn random() -> Instance {
         Instance(rand::random())
     }
@@ -63,15 +64,15 @@
     }
 }
 
-/// One try at running a turn. Never used twice: the epoch differs between owners, the sequence
-/// number within one.
+/// Identifies an attempt to run a turn. Never reused: owners differ in the epoch, and the attempts
+/// of one owner differ in the sequence number.
 #[wire_key]
 pub struct AttemptId {
     /// The program's shard.
     pub shard: ShardId,
     /// The epoch of the owner that dispatched it.
     pub epoch: Epoch,
-    /// Counts the attempts of that epoch.
+    /// The number of the attempt within its epoch.
     pub sequence: u64,
 }
 
@@ -81,32 +82,33 @@
     }
 }
 
-/// One run of the process beside an endpoint.
+/// A process instance of the daemon beside an endpoint.
 #[name]
 pub struct EndpointRef {
     /// The endpoint's VM.
     pub vm: VmName,
-    /// The run that an attempt is meant for.
+    /// The process instance that an attempt is sent to.
     pub instance: Instance,
 }
 
-/// One crash of an engine: many attempts can see the same one.
+/// A crash of an engine. Several attempts can be affected by the same crash.
 #[name]
 pub struct Crash {
     /// The engine's VM.
     pub vm: VmName,
-    /// The engine's run that ended.
+    /// The run of the engine that crashed.
     pub run: u64,
-    /// Whether the call ran alone: then no other can have been the cause.
+    /// Whether the call was the only one running, so that no other call can be the cause.
     pub alone: bool,
 }
 
-/// A SHA-256 digest, written as hex.
+/// A SHA-256 digest, displayed and serialized in hexadecimal.
 #[key]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Digests the parts, each preceded by its length so that no two lists collide.
+    /// Computes the digest of a list of parts. Each part is preceded by its length, so that two
+    /// lists with the same concatenation have different digests.
     pub fn of(parts: &[&[u8]]) -> Digest {
         let mut hasher = sha2::Sha256::new();
         for part in parts {
@@ -121,7 +123,7 @@
         &self.0
     }
 
-    /// The first eight bytes as a number, for hashing onto shards and nodes.
+    /// The first eight bytes as a little-endian number, for hashing onto shards and nodes.
     pub fn prefix(&self) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&self.0[..8]);
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -9,12 +9,12 @@
 #[test_case("", InvalidName::Empty)]
 #[test_case("a b", InvalidName::Character(' '))]
 #[test_case("a/b", InvalidName::Character('/'))]
-fn bad_workspace_names_are_refused(text: &str, expected: InvalidName) {
+fn invalid_workspace_names_are_rejected(text: &str, expected: InvalidName) {
     assert_eq!(WorkspaceId::parse(text), Err(expected));
 }
 
 #[test]
-fn a_sub_agent_shares_the_shard_and_the_account_of_its_root() {
+fn sub_agent_shares_shard_and_account_of_its_root() {
     let root = program("ice", "crossing-7");
     let child = program("ice", "crossing-7/checker");
     assert_eq!(root.shard(64), child.shard(64));
@@ -22,6 +22,6 @@
 }
 
 #[test]
-fn one_name_in_two_workspaces_is_two_programs() {
+fn same_name_in_two_workspaces_identifies_two_programs() {
     assert_ne!(program("ice", "p"), program("biogas", "p"));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! trefoilproxy schedules agent programs: chains of dependent model and tool calls.
 //!
-//! The decisions live in state machines without I/O, one slice of the tree for each duty; the
-//! daemon's tasks feed them with events and clock values and carry out the actions they return.
+//! Decisions are made by state machines without I/O, in one module per responsibility. The tasks of
+//! the daemon pass events and clock values to them and carry out the actions that they return.
 
 pub mod admission;
 pub mod catalog;
--- a/src/link/dealer.rs
+++ b/src/link/dealer.rs
@@ -11,56 +11,58 @@
 use super::{ControlReply, ControlRequest};
 use crate::prelude::*;
 
-const QUEUE: usize = 1_024;
-const DIAL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A send that takes longer finds its peer frozen and its buffers full.
+const QUEUE_CAPACITY: usize = 1_024;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time limit for a send. It is exceeded when the peer is frozen and the send buffers are full.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// With questions open and no answer for so long, the socket is replaced.
-const STALL: Duration = Duration::from_millis(1_500);
-const CHECK: Duration = Duration::from_millis(100);
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// The socket is replaced when requests are in flight and no reply has come for this long.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Why a question got no answer. Whether the other side got it is not known.
+/// Why a request got no reply. The peer may have received the request.
 #[value]
 #[derive(Copy)]
 pub enum LinkError {
-    /// Too many questions wait already.
+    /// The queue of waiting requests is full.
     Busy,
-    /// No answer in time.
+    /// No reply within the timeout.
     TimedOut,
-    /// The connection broke or could not be made.
+    /// The connection failed or could not be opened.
     Broken,
 }
 
-struct Question {
+struct QueuedRequest {
     request: ControlRequest,
-    answer: oneshot::Sender<ControlReply>,
+    reply_sender: oneshot::Sender<ControlReply>,
 }
 
-/// A supervised link to one process.
+/// Handle of a connection to another process, which is reopened after failures.
 #[derive(Clone)]
 pub struct Link {
-    questions: mpsc::Sender<Question>,
+    requests: mpsc::Sender<QueuedRequest>,
 }
 
 impl Link {
-    /// Starts a link. It dials when it is first used, and stops when its last handle is dropped.
+    /// Creates a link. It connects on the first request and closes when its last handle is dropped.
     pub fn spawn(address: SocketAddr) -> Link {
-        let (questions, queue) = mpsc::channel(QUEUE);
-        tokio::spawn(supervise(address, queue));
-        Link { questions }
+        let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
+        tokio::spawn(run_sessions(address, queue));
+        Link { requests }
     }
 
-    /// Asks; waits no longer than `wait` for the answer.
+    /// Sends a request and waits up to `wait` for the reply.
     pub async fn ask(
         &self,
         request: ControlRequest,
         wait: Duration,
     ) -> Result<ControlReply, LinkError> {
-        let (answer, answered) = oneshot::channel();
-        self.questions.try_send(Question { request, answer }).map_err(|_| LinkError::Busy)?;
-        match timeout(wait, answered).await {
+        let (reply_sender, reply) = oneshot::channel();
+        self.requests
+            .try_send(QueuedRequest { request, reply_sender })
+            .map_err(|_| LinkError::Busy)?;
+        match timeout(wait, reply).await {
             Err(_) => Err(LinkError::TimedOut),
             Ok(Err(_)) => Err(LinkError::Broken),
             Ok(Ok(reply)) => Ok(reply),
@@ -68,13 +70,14 @@
     }
 }
 
-async fn supervise(address: SocketAddr, mut queue: mpsc::Receiver<Question>) {
-    let mut backoff = FIRST_BACKOFF;
+/// Serves the queue with one session after another, with backoff between them.
+async fn run_sessions(address: SocketAddr, mut queue: mpsc::Receiver<QueuedRequest>) {
+    let mut backoff = INITIAL_BACKOFF;
     while let Some(first) = queue.recv().await {
-        let mut session = match Session::dial(address).await {
+        let mut session = match Session::connect(address).await {
             Some(session) => session,
             None => {
-                // Dropping the question answers it with `Broken`.
+                // Dropping the request fails it with `LinkError::Broken`.
                 drop(first);
                 sleep(backoff).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
@@ -84,8 +87,8 @@
         if session.serve(first, &mut queue).await {
             return;
         }
-        backoff = match session.was_answered {
-            true => FIRST_BACKOFF,
+        backoff = match session.received_reply {
+            true => INITIAL_BACKOFF,
             false => (backoff * 2).min(MAX_BACKOFF),
         };
         drop(session);
@@ -93,42 +96,47 @@
     }
 }
 
-/// One socket's life.
+/// A socket and its requests in flight.
 struct Session {
     sender: DealerSendHalf,
     receiver: DealerRecvHalf,
     next_id: u64,
-    open: HashMap<u64, oneshot::Sender<ControlReply>>,
-    progress: Instant,
-    was_answered: bool,
+    in_flight: HashMap<u64, oneshot::Sender<ControlReply>>,
+    last_progress: Instant,
+    received_reply: bool,
 }
 
 impl Session {
-    async fn dial(address: SocketAddr) -> Option<Session> {
+    async fn connect(address: SocketAddr) -> Option<Session> {
         let mut socket = DealerSocket::new();
-        let dialled = timeout(DIAL_TIMEOUT, socket.connect(&format!("tcp://{address}"))).await;
-        dialled.ok()?.ok()?;
+        let connected = timeout(CONNECT_TIMEOUT, socket.connect(&format!("tcp://{address}"))).await;
+        connected.ok()?.ok()?;
         let (sender, receiver) = socket.split();
         Some(Session {
             sender,
             receiver,
             next_id: 1,
-            open: HashMap::new(),
-            progress: Instant::now(),
-            was_answered: false,
+            in_flight: HashMap::new(),
+            last_progress: Instant::now(),
+            received_reply: false,
         })
     }
 
-    /// Serves until the socket fails (`false`) or no handle is left (`true`).
-    async fn serve(&mut self, first: Question, queue: &mut mpsc::Receiver<Question>) -> bool {
+    /// Serves requests until the socket fails (returns `false`) or all handles of the link are
+    /// dropped (returns `true`).
+    async fn serve(
+        &mut self,
+        first: QueuedRequest,
+        queue: &mut mpsc::Receiver<QueuedRequest>,
+    ) -> bool {
         if !self.send(first).await {
             return false;
         }
         loop {
             tokio::select! {
-                question = queue.recv() => match question {
+                queued = queue.recv() => match queued {
                     None => return true,
-                    Some(question) => if !self.send(question).await {
+                    Some(queued) => if !self.send(queued).await {
                         return false;
                     },
                 },
@@ -136,22 +144,22 @@
                     Ok(message) => self.receive(&message),
                     Err(_) => return false,
                 },
-                () = sleep(CHECK) => if self.is_stalled() {
+                () = sleep(STALL_CHECK_INTERVAL) => if self.is_stalled() {
                     return false;
                 },
             }
         }
     }
 
-    async fn send(&mut self, question: Question) -> bool {
-        if self.open.is_empty() {
-            self.progress = Instant::now();
+    async fn send(&mut self, queued: QueuedRequest) -> bool {
+        if self.in_flight.is_empty() {
+            self.last_progress = Instant::now();
         }
         let id = self.next_id;
         self.next_id += 1;
-        self.open.insert(id, question.answer);
+        self.in_flight.insert(id, queued.reply_sender);
         let mut message = ZmqMessage::from(id.to_le_bytes().to_vec());
-        message.push_back(encode(&question.request).into());
+        message.push_back(encode(&queued.request).into());
         matches!(timeout(SEND_TIMEOUT, self.sender.send(message)).await, Ok(Ok(())))
     }
 
@@ -159,19 +167,20 @@
         let id = message.get(0).and_then(|frame| frame.as_ref().try_into().ok());
         let reply = message.get(1).and_then(|frame| decode(frame));
         if let Some((id, reply)) = id.map(u64::from_le_bytes).zip(reply) {
-            self.progress = Instant::now();
-            self.was_answered = true;
-            if let Some(answer) = self.open.remove(&id) {
-                let _ = answer.send(reply);
+            self.last_progress = Instant::now();
+            self.received_reply = true;
+            if let Some(reply_sender) = self.in_flight.remove(&id) {
+                let _ = reply_sender.send(reply);
             }
         }
     }
 
-    /// Whether questions have been open for long without any answer. Questions whose asker has
-    /// stopped waiting don't count, so that a slow answer alone is no stall.
+    /// Whether requests have been in flight for [`STALL_TIMEOUT`] without any reply. Requests whose
+    /// callers have stopped waiting are removed at each check, so that a single slow reply does not
+    /// count as a stall.
     fn is_stalled(&mut self) -> bool {
-        let stalled = !self.open.is_empty() && self.progress.elapsed() >= STALL;
-        self.open.retain(|_, answer| !answer.is_closed());
+        let stalled = !self.in_flight.is_empty() && self.last_progress.elapsed() >= STALL_TIMEOUT;
+        self.in_flight.retain(|_, reply_sender| !reply_sender.is_closed());
         stalled
     }
 }
--- a/src/link/message.rs
+++ b/src/link/message.rs
@@ -2,51 +2,52 @@
 use crate::prelude::*;
 use crate::programs::AttemptReport;
 
-/// A question or order of one process to another.
+/// A request from one process to another.
 #[wire]
 pub enum ControlRequest {
-    /// What became of this attempt? Fences the owners before the asker.
-    Ask {
+    /// Asks for the state of an attempt. The receiver then fences owners with an earlier epoch.
+    #[serde(rename = "ask")]
+    Query {
         /// The attempt.
         attempt: AttemptId,
-        /// The run that it went to.
+        /// The process instance that the attempt was sent to.
         instance: Instance,
-        /// The asker's epoch.
+        /// The epoch of the shard owner that asks.
         epoch: Epoch,
     },
-    /// Stop this attempt.
+    /// Cancels an attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Free what the engine holds for a program that has ended.
+    /// Frees the engine's cache of a program that has ended.
     Free {
         /// The program.
         program: ProgramId,
     },
-    /// Lend a share of a workspace's rate.
+    /// Asks for a loan from a workspace's rate limit.
     Borrow(BorrowRequest),
 }
 
-/// The answer.
+/// The reply to a [`ControlRequest`].
 #[wire]
 pub enum ControlReply {
-    /// What became of an attempt.
+    /// The state of an attempt.
     Report(AttemptReport),
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// A share of a workspace's rate.
+    /// A loan from a workspace's rate limit.
     Lent(Loan),
-    /// This process can't answer that.
-    NotMine,
+    /// This process cannot serve the request.
+    Declined,
 }
 
-/// Reads a message; anything else gives nothing.
+/// Decodes a message. Returns `None` for invalid input.
 pub(super) fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Writes a message.
+/// Encodes a message.
 pub(super) fn encode<T: serde::Serialize>(message: &T) -> Vec<u8> {
     postcard::to_allocvec(message).unwrap_or_default()
 }
--- a/src/link/mod.rs
+++ b/src/link/mod.rs
@@ -1,8 +1,8 @@
-//! Control messages between the system's own processes, over ZeroMQ sockets.
+//! Control messages between the processes of the cluster, over ZeroMQ sockets.
 //!
-//! One supervised link serves every slice. A ZeroMQ dealer does not dial again after its peer was
-//! killed, and a frozen peer can hold a sender; so the link replaces its socket, with back-off,
-//! and bounds every wait.
+//! All modules share one link to each process. A ZeroMQ dealer socket does not reconnect after its
+//! peer was killed, and a frozen peer can block a sender. The link therefore replaces its socket,
+//! with backoff, and limits the duration of every wait.
 
 mod dealer;
 mod message;
--- a/src/link/pool.rs
+++ b/src/link/pool.rs
@@ -5,17 +5,17 @@
 
 use super::{ControlReply, ControlRequest, Link, LinkError};
 
-/// Links kept at most. Dropping one only costs a new dial.
+/// Maximum number of links. When it is reached, all are dropped; the only cost is reconnecting.
 const MAX_LINKS: usize = 1_024;
 
-/// One link for each process that this one talks to.
+/// The links to other processes, by address.
 #[derive(Default)]
 pub struct LinkPool {
     links: Mutex<HashMap<SocketAddr, Link>>,
 }
 
 impl LinkPool {
-    /// Asks the process at `address`.
+    /// Sends a request to the process at `address` and waits up to `wait` for the reply.
     pub async fn ask(
         &self,
         address: SocketAddr,
@@ -27,7 +27,7 @@
     }
 
     fn link(&self, address: SocketAddr) -> Link {
-        let mut links = self.links.lock().expect("no holder panics");
+        let mut links = self.links.lock().expect("no thread panics while it holds the lock");
         if links.len() >= MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
--- a/src/link/router.rs
+++ b/src/link/router.rs
@@ -12,9 +12,9 @@
 
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The answering side of links.
+/// Receives the requests of other processes' links and replies to them. Stops when dropped.
 pub struct LinkServer {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl LinkServer {
-    /// Listens and answers each question with `handler`.
+    /// Listens on `address` and replies to each request with the result of `handler`.
     pub async fn bind<H, F>(address: SocketAddr, handler: H) -> Result<LinkServer, ZmqError>
     where
         H: Fn(ControlRequest) -> F + Send + Sync + 'static,
@@ -38,12 +38,12 @@
             zeromq::Endpoint::Tcp(_, port) => SocketAddr::new(address.ip(), port),
             _ => address,
         };
-        let task = tokio::spawn(answer(socket, handler));
+        let task = tokio::spawn(receive_requests(socket, handler));
         Ok(LinkServer { address, task })
     }
 }
 
-async fn answer<H, F>(socket: RouterSocket, handler: H)
+async fn receive_requests<H, F>(socket: RouterSocket, handler: H)
 where
     H: Fn(ControlRequest) -> F + Send + Sync + 'static,
     F: Future<Output = ControlReply> + Send + 'static,
@@ -62,12 +62,13 @@
             continue;
         };
         let reply = handler(request);
-        let head = [identity.clone(), id.clone()];
-        tokio::spawn(send_reply(sender.clone(), head, reply));
+        let envelope = [identity.clone(), id.clone()];
+        tokio::spawn(send_reply(sender.clone(), envelope, reply));
     }
 }
 
-/// Sends in a task of its own: a frozen peer must not hold the answers to others.
+/// Waits for a reply and sends it. Runs in its own task, so that neither a slow handler nor a
+/// frozen peer delays the replies to others.
 async fn send_reply(
     mut sender: RouterSendHalf,
     [identity, id]: [bytes::Bytes; 2],
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -4,9 +4,9 @@
 use super::{ControlReply, ControlRequest, Link, LinkError, LinkServer};
 use crate::prelude::*;
 
-const LONG: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn question() -> ControlRequest {
+fn cancel_request() -> ControlRequest {
     let attempt = AttemptId { shard: ShardId(1), epoch: Epoch(2), sequence: 3 };
     ControlRequest::Cancel { attempt }
 }
@@ -19,46 +19,47 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// The peer is killed and a new run listens under the same address. Questions in between fail;
-/// the link then dials a new socket by itself, because the old one never would.
+/// A peer is killed and a new process instance listens on its address. Requests in between fail.
+/// The link must then connect a new socket, because a ZeroMQ dealer socket does not reconnect.
 #[tokio::test]
-async fn a_link_finds_a_restarted_peer() {
+async fn link_reconnects_to_restarted_peer() {
     let server = bind(any_port()).await;
     let address = server.address;
     let link = Link::spawn(address);
-    assert_eq!(link.ask(question(), LONG).await, Ok(ControlReply::Done));
+    assert_eq!(link.ask(cancel_request(), LONG_TIMEOUT).await, Ok(ControlReply::Done));
     drop(server);
     let mut restarted = None;
-    let mut answered = false;
+    let mut reconnected = false;
     for _ in 0..200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
         if restarted.is_none() {
             restarted = LinkServer::bind(address, |_| async { ControlReply::Done }).await.ok();
         }
-        let reply = link.ask(question(), Duration::from_millis(500)).await;
-        answered = restarted.is_some() && reply == Ok(ControlReply::Done);
-        if answered {
+        let reply = link.ask(cancel_request(), Duration::from_millis(500)).await;
+        reconnected = restarted.is_some() && reply == Ok(ControlReply::Done);
+        if reconnected {
             break;
         }
     }
-    assert!(answered);
+    assert!(reconnected);
 }
 
-/// A frozen peer takes the connection and never answers. Each asker is let go when its own time
-/// is up, and the next question does not wait behind the first.
+/// A frozen peer accepts the connection and never replies. Each caller must be released after its
+/// own timeout, and the second request must not wait behind the first.
 #[tokio::test]
-async fn a_frozen_peer_holds_nobody() {
+async fn frozen_peer_does_not_block_callers() {
     let frozen = std::net::TcpListener::bind(any_port()).unwrap();
     let link = Link::spawn(frozen.local_addr().unwrap());
     let wait = Duration::from_millis(50);
-    let (first, second) = tokio::join!(link.ask(question(), wait), link.ask(question(), wait));
+    let (first, second) =
+        tokio::join!(link.ask(cancel_request(), wait), link.ask(cancel_request(), wait));
     assert_ne!(first, Ok(ControlReply::Done));
     assert_eq!(second, Err(LinkError::TimedOut));
 }
 
-/// One handler that never returns must not hold the answers to other questions.
+/// A handler that never returns must not delay the replies to other requests.
 #[tokio::test]
-async fn a_slow_answer_holds_no_other() {
+async fn slow_reply_does_not_delay_others() {
     let server = LinkServer::bind(any_port(), |request| async move {
         if matches!(request, ControlRequest::Free { .. }) {
             std::future::pending::<()>().await;
@@ -70,7 +71,7 @@
     let workspace = WorkspaceId::parse("w").unwrap();
     let program = ProgramId::parse(workspace, "p").unwrap();
     let slow = link.ask(ControlRequest::Free { program }, Duration::from_millis(300));
-    let (slow, quick) = tokio::join!(slow, link.ask(question(), LONG));
+    let (slow, fast) = tokio::join!(slow, link.ask(cancel_request(), LONG_TIMEOUT));
     assert_eq!(slow, Err(LinkError::TimedOut));
-    assert_eq!(quick, Ok(ControlReply::Done));
+    assert_eq!(fast, Ok(ControlReply::Done));
 }
--- a/src/logstore/client.rs
+++ b/src/logstore/client.rs
@@ -9,9 +9,9 @@
 use crate::prelude::*;
 use crate::programs::{AppendedAt, LogCallError, StoredRecord};
 
-const PAGE_RECORDS: usize = 1_000;
+const MAX_PAGE_RECORDS: usize = 1_000;
 
-/// A client of the log.
+/// A client of the platform's log service.
 #[derive(Clone)]
 pub struct LogClient {
     http: Client,
@@ -19,7 +19,7 @@
     timeout: Duration,
 }
 
-/// Why the log gave no answer.
+/// Why a call to the log failed.
 #[value]
 #[derive(Copy)]
 pub struct LogFault(pub CallError);
@@ -35,19 +35,19 @@
     }
 }
 
-/// One page of a stream.
+/// One page of records read from a stream.
 #[value]
 pub struct Page<T> {
-    /// The first offset that the log still holds.
+    /// The first offset that is still in the log; earlier records have expired.
     pub earliest: Offset,
     /// The offset after the last record of the stream.
     pub end: Offset,
-    /// The records, in order.
+    /// The records, in order of their offsets.
     pub records: Vec<StoredRecord<T>>,
 }
 
 impl<T> Page<T> {
-    /// Whether no record follows the page.
+    /// Whether the page reaches the end of the stream.
     pub fn at_end(&self) -> bool {
         self.records.last().is_none_or(|last| last.offset.plus(1) >= self.end)
     }
@@ -59,37 +59,37 @@
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     first_offset: u64,
     time_ms: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(bound = "T: DeserializeOwned")]
-struct ReadAnswer<T> {
+struct ReadResponse<T> {
     earliest_offset: u64,
     next_offset: u64,
     records: Vec<StoredRecord<T>>,
 }
 
-impl From<AppendAnswer> for AppendedAt {
-    fn from(answer: AppendAnswer) -> AppendedAt {
-        AppendedAt { first: Offset(answer.first_offset), time_ms: UnixMs(answer.time_ms) }
+impl From<AppendResponse> for AppendedAt {
+    fn from(response: AppendResponse) -> AppendedAt {
+        AppendedAt { first: Offset(response.first_offset), time_ms: UnixMs(response.time_ms) }
     }
 }
 
-impl<T> From<ReadAnswer<T>> for Page<T> {
-    fn from(answer: ReadAnswer<T>) -> Page<T> {
+impl<T> From<ReadResponse<T>> for Page<T> {
+    fn from(response: ReadResponse<T>) -> Page<T> {
         Page {
-            earliest: Offset(answer.earliest_offset),
-            end: Offset(answer.next_offset),
-            records: answer.records,
+            earliest: Offset(response.earliest_offset),
+            end: Offset(response.next_offset),
+            records: response.records,
         }
     }
 }
 
 impl LogClient {
-    /// Opens a client whose calls take at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`.
     pub fn open(http: Client, address: SocketAddr, timeout: Duration) -> LogClient {
         LogClient { http, address, timeout }
     }
@@ -103,10 +103,11 @@
         let path = format!("/streams/{stream}/append");
         let body = AppendBody { records };
         let call = self.http.call(Method::POST, self.address, &path, &body, self.timeout);
-        call.await.map(|answer: AppendAnswer| answer.into()).map_err(LogFault)
+        call.await.map(|response: AppendResponse| response.into()).map_err(LogFault)
     }
 
-    /// Reads a page from an offset on; waits up to `wait` for a first record.
+    /// Reads a page that starts at offset `from`. If the stream has no such record yet, the log
+    /// waits for one up to `wait`.
     pub async fn read<T: DeserializeOwned>(
         &self,
         stream: &str,
@@ -114,9 +115,10 @@
         wait: Duration,
     ) -> Result<Page<T>, LogFault> {
         let wait_ms = wait.as_millis();
-        let path =
-            format!("/streams/{stream}/records?from={from}&limit={PAGE_RECORDS}&wait_ms={wait_ms}");
+        let path = format!(
+            "/streams/{stream}/records?from={from}&limit={MAX_PAGE_RECORDS}&wait_ms={wait_ms}"
+        );
         let call = self.http.get(self.address, &path, self.timeout + wait);
-        call.await.map(|answer: ReadAnswer<T>| answer.into()).map_err(LogFault)
+        call.await.map(|response: ReadResponse<T>| response.into()).map_err(LogFault)
     }
 }
--- a/src/logstore/mod.rs
+++ b/src/logstore/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's log, as a client sees it: streams of records with offsets.
+//! Client of the platform's log: streams of records with offsets.
 
 mod client;
 mod pacer;
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module uses.
+//! The types and attributes that most modules use.
 
 pub use std::sync::Arc;
 
--- a/src/settings/endpoint.rs
+++ b/src/settings/endpoint.rs
@@ -9,34 +9,39 @@
 /// Settings of `trefoilproxyd endpoint`.
 #[value]
 pub struct EndpointSettings {
-    /// What both roles share.
+    /// Settings shared by all roles.
     pub process: ProcessSettings,
-    /// The endpoint beside it.
+    /// Address of the endpoint, which runs next to this process.
     pub backend: SocketAddr,
-    /// What the endpoint serves.
+    /// Name of the model or service that the endpoint serves.
     pub serves: ModelName,
-    /// Whether it is a plain service rather than a model engine.
+    /// Whether the endpoint is a service rather than a model engine.
     pub is_service: bool,
-    /// Calls that run at once.
+    /// Maximum number of calls that run concurrently.
     pub concurrency: u64,
-    /// Calls that wait at once; more are turned away.
+    /// Maximum number of calls that wait in the queue; further ones are rejected.
     pub queue: u64,
-    /// How long a program's cache is kept without a call.
+    /// How long the cache of an idle program is kept, in milliseconds.
     pub cache_lease_ms: u64,
 }
 
 impl EndpointSettings {
-    /// Every setting of the role.
+    /// All settings of the role.
     pub const ALL: &'static [Setting] = with_common![
-        setting("backend", "IP:PORT", "the endpoint beside this process", None),
-        setting("serves", "NAME", "the model or service that the endpoint serves", None),
-        setting("kind", "KIND", "engine or service", Some("engine")),
-        setting("concurrency", "N", "calls that run at once", Some("16")),
-        setting("queue", "N", "calls that wait at once", Some("256")),
-        setting("cache-lease-ms", "MS", "how long an idle program's cache is kept", Some("300000")),
+        setting("backend", "IP:PORT", "address of the endpoint next to this process", None),
+        setting("serves", "NAME", "name of the model or service that the endpoint serves", None),
+        setting("kind", "KIND", "kind of endpoint: engine or service", Some("engine")),
+        setting("concurrency", "N", "maximum number of calls that run concurrently", Some("16")),
+        setting("queue", "N", "maximum number of calls that wait in the queue", Some("256")),
+        setting(
+            "cache-lease-ms",
+            "MS",
+            "how long the cache of an idle program is kept, in ms",
+            Some("300000")
+        ),
     ];
 
-    /// Reads and checks them.
+    /// Reads and validates the settings.
     pub fn read(
         args: &[String],
         env: impl Fn(&str) -> Option<String> + 'static,
@@ -45,12 +50,12 @@
         let process = ProcessSettings::read(&mut reader);
         let backend = reader.address("backend");
         let serves = reader.name("serves", ModelName::parse);
-        let is_service = reader.word("kind", KINDS) == "service";
+        let is_service = reader.one_of("kind", KINDS) == "service";
         let concurrency = reader.number("concurrency", 1, 10_000);
         let queue = reader.number("queue", 1, 100_000);
         let cache_lease_ms = reader.number("cache-lease-ms", 100, 86_400_000);
         reader.finish()?;
-        let (process, serves) = process.zip(serves).ok_or(SettingsError::Faults(Vec::new()))?;
+        let (process, serves) = process.zip(serves).ok_or(SettingsError::Invalid(Vec::new()))?;
         Ok(EndpointSettings {
             process,
             backend,
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -9,62 +9,94 @@
 /// Settings of `trefoilproxyd entry`.
 #[value]
 pub struct EntrySettings {
-    /// What both roles share.
+    /// Settings shared by all roles.
     pub process: ProcessSettings,
-    /// Where callers reach it.
+    /// Listen address for callers' requests.
     pub listen: SocketAddr,
-    /// The platform's log.
+    /// Address of the platform's log.
     pub log: SocketAddr,
-    /// Number of shards; the same on every entry, and never changed while programs live.
+    /// Number of shards. It must be the same on all entries and must not change while programs exist.
     pub shards: u16,
-    /// Appends a second that the whole fleet may make.
+    /// Maximum rate of appends to the log per second, over all entries together.
     pub appends_per_s: u64,
-    /// How long one call to the log may take.
+    /// Timeout of a call to the log.
     pub log_timeout_ms: u64,
     /// How long the log keeps records.
     pub log_retention_ms: u64,
-    /// How long a configuration may go unconfirmed before callers are turned away.
+    /// Maximum time since the configuration was last confirmed to be current. After it, callers are
+    /// rejected.
     pub config_stale_ms: u64,
-    /// Deadline of a call that names none.
+    /// Deadline of calls that set none.
     pub default_deadline_ms: u64,
-    /// The largest body of a call.
+    /// Maximum size of a call's body.
     pub max_body_bytes: u64,
-    /// How long a caller may take to send its headers, and then its body.
+    /// Maximum time for a call's headers to arrive, and then for its body.
     pub receive_timeout_ms: u64,
     /// Idle time after which a program is ended.
     pub program_idle_ms: u64,
-    /// Whether new calls wait for a log that fails, up to their deadline, or are refused at once.
+    /// Whether new calls wait until their deadline while the log is unavailable, rather than being
+    /// rejected at once.
     pub waits_for_log: bool,
 }
 
 impl EntrySettings {
-    /// Every setting of the role.
+    /// All settings of the role.
     pub const ALL: &'static [Setting] = with_common![
-        setting("listen", "IP:PORT", "where callers reach this entry", Some("127.0.0.1:0")),
-        setting("log", "IP:PORT", "the platform's log", None),
-        setting("shards", "N", "number of shards, the same on every entry", Some("8")),
-        setting("appends-per-s", "N", "log appends a second for the whole fleet", Some("300")),
-        setting("log-timeout-ms", "MS", "how long a call to the log may take", Some("2000")),
-        setting("log-retention-ms", "MS", "how long the log keeps records", Some("86400000")),
+        setting("listen", "IP:PORT", "listen address for callers' requests", Some("127.0.0.1:0")),
+        setting("log", "IP:PORT", "address of the platform's log", None),
+        setting("shards", "N", "number of shards; must be the same on all entries", Some("8")),
+        setting(
+            "appends-per-s",
+            "N",
+            "maximum log appends per second, over all entries",
+            Some("300")
+        ),
+        setting("log-timeout-ms", "MS", "timeout of a call to the log, in ms", Some("2000")),
+        setting(
+            "log-retention-ms",
+            "MS",
+            "how long the log keeps records, in ms",
+            Some("86400000")
+        ),
         setting(
             "config-stale-ms",
             "MS",
-            "how long a configuration may go unconfirmed",
+            "maximum time since the configuration was last confirmed, in ms; then callers are rejected",
             Some("4000")
         ),
-        setting("default-deadline-ms", "MS", "deadline of a call that names none", Some("120000")),
-        setting("max-body-bytes", "BYTES", "the largest body of a call", Some("2097152")),
-        setting("receive-timeout-ms", "MS", "how long a caller may take to send", Some("10000")),
-        setting("when-log-fails", "WORD", "refuse new calls, or let them wait", Some("refuse")),
+        setting(
+            "default-deadline-ms",
+            "MS",
+            "deadline of calls that set none, in ms",
+            Some("120000")
+        ),
+        setting(
+            "max-body-bytes",
+            "BYTES",
+            "maximum size of a call's body, in bytes",
+            Some("2097152")
+        ),
+        setting(
+            "receive-timeout-ms",
+            "MS",
+            "maximum time for a call's headers to arrive, and then for its body, in ms",
+            Some("10000")
+        ),
+        setting(
+            "when-log-fails",
+            "WORD",
+            "new calls while the log is unavailable: refuse or wait",
+            Some("refuse")
+        ),
         setting(
             "program-idle-ms",
             "MS",
-            "idle time after which a program is ended",
+            "idle time after which a program is ended, in ms",
             Some("43200000")
         ),
     ];
 
-    /// Reads and checks them.
+    /// Reads and validates the settings.
     pub fn read(
         args: &[String],
         env: impl Fn(&str) -> Option<String> + 'static,
@@ -82,11 +114,11 @@
         let default_deadline_ms = reader.number("default-deadline-ms", 1, DAY_MS);
         let max_body_bytes = reader.number("max-body-bytes", 1_024, 1 << 30);
         let receive_timeout_ms = reader.number("receive-timeout-ms", 10, 600_000);
-        let waits_for_log = reader.word("when-log-fails", WHEN_LOG_FAILS) == "wait";
+        let waits_for_log = reader.one_of("when-log-fails", WHEN_LOG_FAILS) == "wait";
         let program_idle_ms = reader.number("program-idle-ms", 1_000, 365 * DAY_MS);
         reader.finish()?;
         Ok(EntrySettings {
-            process: process.ok_or(SettingsError::Faults(Vec::new()))?,
+            process: process.ok_or(SettingsError::Invalid(Vec::new()))?,
             listen,
             log,
             shards,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,14 +1,15 @@
-//! Settings: flags and environment variables, read once into typed structs and checked together.
+//! Settings of the processes, read from flags and environment variables into typed structs. All
+//! invalid settings are reported together.
 
 mod endpoint;
 mod entry;
-mod fault;
+mod error;
 mod process;
 mod reader;
 
 pub use endpoint::EndpointSettings;
 pub use entry::EntrySettings;
-pub use fault::{SettingFault, SettingsError};
+pub use error::{InvalidSetting, SettingsError};
 pub use process::ProcessSettings;
 pub use reader::{Reader, Setting};
 
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -3,41 +3,42 @@
 use super::{Reader, Setting};
 use crate::prelude::*;
 
-/// Settings that both roles share.
+/// Settings shared by all roles.
 #[value]
 pub struct ProcessSettings {
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmName,
-    /// Its failure domain.
+    /// The failure domain of this VM.
     pub failure_domain: Arc<str>,
-    /// Where the project's other processes reach it: TCP for calls, UDP for heartbeats.
+    /// Listen address for other trefoilproxy processes: TCP for calls, UDP for heartbeats.
     pub peer_listen: SocketAddr,
-    /// Where it serves health and metrics.
+    /// Listen address for health checks and metrics.
     pub admin_listen: SocketAddr,
-    /// The platform's list of VMs.
+    /// Address of the platform's list of VMs.
     pub vm_list: SocketAddr,
-    /// Time between two heartbeats.
+    /// Interval between two heartbeats.
     pub heartbeat_ms: u64,
-    /// How long a graceful shutdown waits for what is under way.
+    /// How long a graceful shutdown waits for calls in flight.
     pub drain_timeout_ms: u64,
     /// The least severe level that is logged.
     pub log_level: &'static str,
 }
 
-pub(super) const LEVELS: &[&str] = &["info", "error", "warn", "debug", "trace"];
+/// The first one stands in for an invalid value until all invalid settings are reported.
+pub(super) const LOG_LEVELS: &[&str] = &["info", "error", "warn", "debug", "trace"];
 
-/// Declares the settings of a role together with the common ones.
+/// The list of a role's settings: the common ones, then those given.
 macro_rules! with_common {
     ($($setting:expr),* $(,)?) => {
         &[
-            setting("vm", "NAME", "this VM's name", None),
-            setting("failure-domain", "NAME", "this VM's failure domain", None),
-            setting("peer-listen", "IP:PORT", "where the other processes reach this one", Some("127.0.0.1:0")),
-            setting("admin-listen", "IP:PORT", "where health and metrics are served", Some("127.0.0.1:0")),
-            setting("vm-list", "IP:PORT", "the platform's list of VMs", None),
-            setting("heartbeat-ms", "MS", "time between heartbeats", Some("250")),
-            setting("drain-timeout-ms", "MS", "how long a graceful shutdown waits", Some("60000")),
-            setting("log-level", "LEVEL", "error, warn, info, debug or trace", Some("info")),
+            setting("vm", "NAME", "name of this VM", None),
+            setting("failure-domain", "NAME", "failure domain of this VM", None),
+            setting("peer-listen", "IP:PORT", "listen address for other trefoilproxy processes (TCP and UDP)", Some("127.0.0.1:0")),
+            setting("admin-listen", "IP:PORT", "listen address for health checks and metrics", Some("127.0.0.1:0")),
+            setting("vm-list", "IP:PORT", "address of the platform's list of VMs", None),
+            setting("heartbeat-ms", "MS", "interval between two heartbeats, in ms", Some("250")),
+            setting("drain-timeout-ms", "MS", "how long a graceful shutdown waits for calls in flight, in ms", Some("60000")),
+            setting("log-level", "LEVEL", "least severe level to log: error, warn, info, debug or trace", Some("info")),
             $($setting),*
         ]
     };
@@ -46,11 +47,11 @@
 
 pub(super) const fn setting(
     name: &'static str,
-    hint: &'static str,
-    meaning: &'static str,
+    value_name: &'static str,
+    description: &'static str,
     default: Option<&'static str>,
 ) -> Setting {
-    Setting { name, hint, meaning, default }
+    Setting { name, value_name, description, default }
 }
 
 impl ProcessSettings {
@@ -62,7 +63,7 @@
         let vm_list = reader.address("vm-list");
         let heartbeat_ms = reader.number("heartbeat-ms", 10, 10_000);
         let drain_timeout_ms = reader.number("drain-timeout-ms", 0, 3_600_000);
-        let log_level = reader.word("log-level", LEVELS);
+        let log_level = reader.one_of("log-level", LOG_LEVELS);
         Some(ProcessSettings {
             vm: vm?,
             failure_domain: failure_domain?.as_str().into(),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,34 +1,36 @@
 use std::net::SocketAddr;
 
-use super::fault::env_name;
-use super::{SettingFault, SettingsError};
+use super::error::env_name;
+use super::{InvalidSetting, SettingsError};
 use crate::ids::InvalidName;
 
-/// One setting: its flag, what stands for its value in the help, its meaning and its default.
+/// A setting: its flag, help text and default.
 pub struct Setting {
     /// The flag, without the dashes.
     pub name: &'static str,
-    /// What stands for the value in the help text.
-    pub hint: &'static str,
-    /// What it means.
-    pub meaning: &'static str,
-    /// Its default; without one it is required.
+    /// Placeholder for the value in the help text.
+    pub value_name: &'static str,
+    /// Description in the help text.
+    pub description: &'static str,
+    /// The default; a setting without one is required.
     pub default: Option<&'static str>,
 }
 
-/// Looks an environment variable up.
+/// Looks up an environment variable.
 type Environment = Box<dyn Fn(&str) -> Option<String>>;
 
-/// Reads settings and gathers all their faults.
+/// Reads settings from flags, environment variables and defaults, in this order of precedence, and
+/// collects all invalid ones. In place of an invalid value, the methods return a placeholder, which
+/// must not be used if `finish` fails.
 pub struct Reader {
     settings: &'static [Setting],
     matches: getopts::Matches,
     env: Environment,
-    faults: Vec<(&'static str, SettingFault)>,
+    invalid: Vec<(&'static str, InvalidSetting)>,
 }
 
 impl Reader {
-    /// Takes the command line; unknown flags are refused.
+    /// Parses the command line. Unknown flags and other arguments are rejected.
     pub fn open(
         settings: &'static [Setting],
         args: &[String],
@@ -40,82 +42,89 @@
         if let Some(extra) = matches.free.first() {
             return Err(SettingsError::CommandLine(format!("unexpected argument {extra:?}")));
         }
-        Ok(Reader { settings, matches, env: Box::new(env), faults: Vec::new() })
+        Ok(Reader { settings, matches, env: Box::new(env), invalid: Vec::new() })
     }
 
-    /// The help text.
+    /// The help text, which starts with `brief`.
     pub fn usage(settings: &'static [Setting], brief: &str) -> String {
         options(settings).usage(brief)
     }
 
-    fn raw(&mut self, name: &'static str) -> Option<String> {
+    fn raw_value(&mut self, name: &'static str) -> Option<String> {
         let default = self.settings.iter().find(|setting| setting.name == name)?.default;
         let given = self.matches.opt_str(name).or_else(|| (self.env)(&env_name(name)));
         let value = given.or_else(|| default.map(str::to_string));
         if value.is_none() {
-            self.faults.push((name, SettingFault::Missing));
+            self.invalid.push((name, InvalidSetting::Missing));
         }
         value
     }
 
-    /// A whole number within bounds.
-    pub fn number(&mut self, name: &'static str, least: u64, most: u64) -> u64 {
-        let Some(text) = self.raw(name) else {
-            return least;
+    /// Reads a whole number from `min` to `max`.
+    pub fn number(&mut self, name: &'static str, min: u64, max: u64) -> u64 {
+        let Some(text) = self.raw_value(name) else {
+            return min;
         };
         match text.parse::<u64>() {
-            Ok(given) if (least..=most).contains(&given) => given,
-            Ok(given) => self.fault(name, SettingFault::OutOfRange { given, least, most }, least),
-            Err(_) => self.fault(name, SettingFault::NotANumber(text), least),
+            Ok(given) if (min..=max).contains(&given) => given,
+            Ok(given) => {
+                self.record_invalid(name, InvalidSetting::OutOfRange { given, min, max }, min)
+            }
+            Err(_) => self.record_invalid(name, InvalidSetting::NotANumber(text), min),
         }
     }
 
-    /// An IP address with a port.
+    /// Reads an IP address with a port.
     pub fn address(&mut self, name: &'static str) -> SocketAddr {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let Some(text) = self.raw(name) else {
-            return nowhere;
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        let Some(text) = self.raw_value(name) else {
+            return unspecified;
         };
         match text.parse() {
             Ok(address) => address,
-            Err(_) => self.fault(name, SettingFault::NotAnAddress(text), nowhere),
+            Err(_) => self.record_invalid(name, InvalidSetting::NotAnAddress(text), unspecified),
         }
     }
 
-    /// A checked name.
+    /// Reads a name, which `parse` validates.
     pub fn name<T>(
         &mut self,
         name: &'static str,
         parse: impl Fn(&str) -> Result<T, InvalidName>,
     ) -> Option<T> {
-        let text = self.raw(name)?;
+        let text = self.raw_value(name)?;
         match parse(&text) {
             Ok(value) => Some(value),
-            Err(fault) => self.fault(name, SettingFault::BadName(fault), None),
+            Err(fault) => self.record_invalid(name, InvalidSetting::NotAName(fault), None),
         }
     }
 
-    /// One of several words.
-    pub fn word(&mut self, name: &'static str, words: &'static [&'static str]) -> &'static str {
-        let Some(text) = self.raw(name) else {
-            return words[0];
+    /// Reads one of several allowed words.
+    pub fn one_of(&mut self, name: &'static str, allowed: &'static [&'static str]) -> &'static str {
+        let Some(text) = self.raw_value(name) else {
+            return allowed[0];
         };
-        match words.iter().find(|word| **word == text) {
+        match allowed.iter().find(|word| **word == text) {
             Some(word) => word,
-            None => self.fault(name, SettingFault::NotOneOf(words), words[0]),
+            None => self.record_invalid(name, InvalidSetting::NotOneOf(allowed), allowed[0]),
         }
     }
 
-    fn fault<T>(&mut self, name: &'static str, fault: SettingFault, placeholder: T) -> T {
-        self.faults.push((name, fault));
+    fn record_invalid<T>(
+        &mut self,
+        name: &'static str,
+        fault: InvalidSetting,
+        placeholder: T,
+    ) -> T {
+        self.invalid.push((name, fault));
         placeholder
     }
 
-    /// The error that names every fault, or nothing.
+    /// Fails with all invalid settings, if there are any.
     pub fn finish(self) -> Result<(), SettingsError> {
-        match self.faults.is_empty() {
+        match self.invalid.is_empty() {
             true => Ok(()),
-            false => Err(SettingsError::Faults(self.faults)),
+            false => Err(SettingsError::Invalid(self.invalid)),
         }
     }
 }
@@ -124,8 +133,8 @@
     let mut options = getopts::Options::new();
     for setting in settings {
         let default = setting.default.map_or(String::new(), |value| format!(" [default: {value}]"));
-        let meaning = format!("{}{default}", setting.meaning);
-        options.optopt("", setting.name, &meaning, setting.hint);
+        let description = format!("{}{default}", setting.description);
+        options.optopt("", setting.name, &description, setting.value_name);
     }
     options
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,53 +1,54 @@
-use super::{EndpointSettings, EntrySettings, SettingFault, SettingsError};
+use super::{EndpointSettings, EntrySettings, InvalidSetting, SettingsError};
 
 fn args(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_string).collect()
 }
 
-const GOOD: &str = "--vm e1 --failure-domain a --vm-list 127.0.0.1:1 --log 127.0.0.1:2";
+const VALID: &str = "--vm e1 --failure-domain a --vm-list 127.0.0.1:1 --log 127.0.0.1:2";
 
 #[test]
-fn flags_go_before_the_environment_and_that_before_defaults() {
+fn flags_override_environment_variables_and_those_override_defaults() {
     let env = |name: &str| match name {
         "TREFOIL_SHARDS" => Some("8".to_string()),
         "TREFOIL_APPENDS_PER_S" => Some("100".to_string()),
         _ => None,
     };
-    let settings = EntrySettings::read(&args(&format!("{GOOD} --shards 4")), env).unwrap();
+    let settings = EntrySettings::read(&args(&format!("{VALID} --shards 4")), env).unwrap();
     assert_eq!((settings.shards, settings.appends_per_s), (4, 100));
     assert_eq!(settings.default_deadline_ms, 120_000);
 }
 
 #[test]
-fn all_faults_are_reported_together() {
+fn all_invalid_settings_are_reported_together() {
     let given = args("--vm e1 --vm-list nowhere --log 127.0.0.1:2 --shards 0 --heartbeat-ms soon");
-    let Err(SettingsError::Faults(faults)) = EntrySettings::read(&given, |_| None) else {
-        panic!("expected faults");
+    let Err(SettingsError::Invalid(invalid)) = EntrySettings::read(&given, |_| None) else {
+        panic!("expected invalid settings");
     };
-    let names: Vec<&str> = faults.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = invalid.iter().map(|(name, _)| *name).collect();
     assert_eq!(names, ["failure-domain", "vm-list", "heartbeat-ms", "shards"]);
-    assert_eq!(faults[3].1, SettingFault::OutOfRange { given: 0, least: 1, most: 4_096 });
+    assert_eq!(invalid[3].1, InvalidSetting::OutOfRange { given: 0, min: 1, max: 4_096 });
 }
 
 #[test]
-fn an_unknown_flag_is_refused() {
-    let result = EntrySettings::read(&args(&format!("{GOOD} --shard 4")), |_| None);
+fn an_unknown_flag_is_rejected() {
+    let result = EntrySettings::read(&args(&format!("{VALID} --shard 4")), |_| None);
     assert!(matches!(result, Err(SettingsError::CommandLine(_))));
 }
 
 #[test]
-fn an_unknown_word_is_refused() {
+fn a_word_that_is_not_allowed_is_rejected() {
     let given = "--vm m1 --failure-domain a --vm-list 127.0.0.1:1 --backend 127.0.0.1:2 \
                  --serves small --kind cache";
-    let Err(SettingsError::Faults(faults)) = EndpointSettings::read(&args(given), |_| None) else {
-        panic!("expected faults");
+    let Err(SettingsError::Invalid(invalid)) = EndpointSettings::read(&args(given), |_| None)
+    else {
+        panic!("expected invalid settings");
     };
-    assert_eq!(faults, [("kind", SettingFault::NotOneOf(&["engine", "service"]))]);
+    assert_eq!(invalid, [("kind", InvalidSetting::NotOneOf(&["engine", "service"]))]);
 }
 
 const OPERATIONS: &str = include_str!("../../docs/OPERATIONS.md");
 
-/// The flags of the example that starts a role, as the operators' page gives it.
+/// The flags in the operations guide's example of starting a role.
 fn example_of(role: &str) -> Vec<String> {
     let start = format!("    trefoilproxyd {role} ");
     let example = OPERATIONS.split(&start).nth(1).unwrap();
@@ -56,13 +57,13 @@
 }
 
 #[test]
-fn the_examples_of_the_operators_page_are_accepted() {
+fn the_examples_in_the_operations_guide_are_valid() {
     let entry = EntrySettings::read(&example_of("entry"), |_| None).unwrap();
     assert_eq!(entry.process.vm.as_str(), "entry-a");
     let endpoint = EndpointSettings::read(&example_of("endpoint"), |_| None).unwrap();
     assert_eq!(endpoint.serves.as_str(), "small");
     let contract = OPERATIONS.split("    workspace = ").nth(1).unwrap();
     let contract = contract.split("\n\n|").next().unwrap().replace("\n    ", "\n");
-    let declared = crate::contracts::parse_declaration(&format!("workspace = {contract}"));
-    assert_eq!(declared.unwrap().workspace.as_str(), "ice-watch");
+    let declaration = crate::contracts::parse_declaration(&format!("workspace = {contract}"));
+    assert_eq!(declaration.unwrap().workspace.as_str(), "ice-watch");
 }
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -10,47 +10,49 @@
 
 use crate::prelude::*;
 
-/// The most bytes of lines that wait for a slow reader: a second of lines at ten times the
-/// usual load. Beyond, lines are dropped and counted: a process never waits for whoever reads its
-/// log, and never grows for it.
-const WAITING_MOST_BYTES: usize = 512 * 1024;
+/// Maximum size of the lines buffered for a slow reader of standard output: one second of lines at
+/// ten times the usual load. Further lines are dropped and counted, so that a slow reader neither
+/// blocks the process nor makes its memory grow.
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
-/// Bytes written at once: a pipe that can be written to takes that many without blocking.
-const WRITE_MOST_BYTES: usize = 4_096;
+/// Bytes per write: a pipe that is ready for writing accepts this many without blocking.
+const MAX_WRITE_BYTES: usize = 4_096;
 
-/// Why logging could not start.
+/// Why logging could not be started.
 #[value]
 #[derive(Copy)]
 pub enum LogsError {
-    /// A logger was installed before.
+    /// The process has already installed a logger.
     AlreadyStarted,
 }
 
 impl fmt::Display for LogsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogsError::AlreadyStarted => f.write_str("a logger is installed already"),
+            LogsError::AlreadyStarted => {
+                f.write_str("cannot start logging: a logger is already installed")
+            }
         }
     }
 }
 
 impl std::error::Error for LogsError {}
 
-/// When lines are written.
+/// When log lines are written to standard output.
 #[key]
-pub enum Writing {
-    /// Each as it comes.
+pub enum WriteMode {
+    /// Each line immediately.
     EachLine,
-    /// Many at once: the process calls [`flush_logs`] several times a second. Warnings and errors
-    /// are written as they come.
-    Gathered,
+    /// Several lines at once: the process calls [`flush_logs`] several times per second. Warnings
+    /// and errors are written immediately.
+    Buffered,
 }
 
-/// Writes every record of `level` or above to standard output, one JSON object a line.
+/// Starts writing log records of `level` or above to standard output, as one JSON object per line.
 ///
 /// # Errors
-/// If a logger was installed before.
-pub fn start_logs(level: &str, writing: Writing) -> Result<(), LogsError> {
+/// Fails if a logger is already installed.
+pub fn start_logs(level: &str, writing: WriteMode) -> Result<(), LogsError> {
     let logger: &'static LineLogger =
         Box::leak(Box::new(LineLogger { writing, lines: Mutex::default() }));
     log::set_logger(logger).map_err(|_| LogsError::AlreadyStarted)?;
@@ -58,20 +60,20 @@
     Ok(())
 }
 
-/// Writes the lines that wait, as far as the reader takes them.
+/// Writes as many of the buffered lines as standard output accepts without blocking.
 pub fn flush_logs() {
     log::logger().flush();
 }
 
 #[derive(Default)]
-struct Lines {
-    waiting: VecDeque<u8>,
+struct LineBuffer {
+    buffer: VecDeque<u8>,
     dropped: u64,
 }
 
 struct LineLogger {
-    writing: Writing,
-    lines: Mutex<Lines>,
+    writing: WriteMode,
+    lines: Mutex<LineBuffer>,
 }
 
 impl Log for LineLogger {
@@ -83,12 +85,12 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let line = compose(record);
+        let line = format_line(record);
         let Ok(mut lines) = self.lines.lock() else {
             return;
         };
-        lines.add(&line);
-        if self.writing == Writing::EachLine || record.level() <= Level::Warn {
+        lines.push(&line);
+        if self.writing == WriteMode::EachLine || record.level() <= Level::Warn {
             lines.write();
         }
     }
@@ -100,51 +102,51 @@
     }
 }
 
-impl Lines {
-    fn add(&mut self, line: &str) {
-        if self.waiting.len() + line.len() > WAITING_MOST_BYTES {
+impl LineBuffer {
+    fn push(&mut self, line: &str) {
+        if self.buffer.len() + line.len() > MAX_BUFFERED_BYTES {
             self.dropped += 1;
             return;
         }
         if self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
-            let note =
+            let notice =
                 format!("{{\"level\":\"WARN\",\"msg\":\"lines dropped\",\"lines\":{dropped}}}\n");
-            self.waiting.extend(note.as_bytes());
+            self.buffer.extend(notice.as_bytes());
         }
-        self.waiting.extend(line.as_bytes());
+        self.buffer.extend(line.as_bytes());
     }
 
     fn write(&mut self) {
-        while !self.waiting.is_empty() && can_write() {
-            let (first, _) = self.waiting.as_slices();
-            let part = &first[..first.len().min(WRITE_MOST_BYTES)];
-            match std::io::stdout().lock().write_all(part).and_then(|()| std::io::stdout().flush())
+        while !self.buffer.is_empty() && can_write() {
+            let (first, _) = self.buffer.as_slices();
+            let chunk = &first[..first.len().min(MAX_WRITE_BYTES)];
+            match std::io::stdout().lock().write_all(chunk).and_then(|()| std::io::stdout().flush())
             {
                 Ok(()) => {
-                    let written = part.len();
-                    self.waiting.drain(..written);
+                    let written = chunk.len();
+                    self.buffer.drain(..written);
                 }
-                // Nobody reads any more: there is nowhere left to say so.
-                Err(_) => return self.waiting.clear(),
+                // Standard output has failed, so the error cannot be logged either.
+                Err(_) => return self.buffer.clear(),
             }
         }
     }
 }
 
-/// Whether standard output takes bytes without waiting.
+/// Whether standard output accepts a write without blocking.
 fn can_write() -> bool {
     let stdout = std::io::stdout();
     let mut fds = [PollFd::new(&stdout, PollFlags::OUT)];
-    poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|ready| ready > 0)
+    poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|ready_fds| ready_fds > 0)
 }
 
-fn compose(record: &Record<'_>) -> String {
+fn format_line(record: &Record<'_>) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let unix_ms = now.map_or(0, |since| since.as_millis() as u64);
     let mut line = Line(String::with_capacity(256));
     line.start(unix_ms, record);
-    // Writing to a string does not fail, and neither does visiting pairs.
+    // Cannot fail: `visit_pair` only writes to a string.
     record.key_values().visit(&mut line).unwrap_or_default();
     line.0.push_str("}\n");
     line.0
@@ -157,12 +159,13 @@
         let level = record.level();
         write!(self.0, "{{\"unix_ms\":{unix_ms},\"level\":\"{level}\",\"msg\":")
             .unwrap_or_default();
-        self.text(&record.args().to_string());
+        self.string(&record.args().to_string());
         self.0.push_str(",\"from\":");
-        self.text(record.target());
+        self.string(record.target());
     }
 
-    fn text(&mut self, text: &str) {
+    /// Writes a JSON string.
+    fn string(&mut self, text: &str) {
         self.0.push('"');
         for char in text.chars() {
             match char {
@@ -182,16 +185,16 @@
 impl<'kvs> VisitSource<'kvs> for Line {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         self.0.push(',');
-        self.text(key.as_str());
+        self.string(key.as_str());
         self.0.push(':');
         match (value.to_u64(), value.to_bool(), value.to_f64()) {
             (Some(number), _, _) => write!(self.0, "{number}").unwrap_or_default(),
-            (None, Some(truth), _) => write!(self.0, "{truth}").unwrap_or_default(),
-            // JSON has no word for what is not a number.
+            (None, Some(boolean), _) => write!(self.0, "{boolean}").unwrap_or_default(),
+            // JSON has no NaN or infinities; they are written as strings.
             (None, None, Some(number)) if number.is_finite() => {
                 write!(self.0, "{number:.3}").unwrap_or_default();
             }
-            _ => self.text(&value.to_string()),
+            _ => self.string(&value.to_string()),
         }
         Ok(())
     }
--- a/src/telemetry/numbers.rs
+++ b/src/telemetry/metrics.rs
@@ -6,23 +6,23 @@
     30_000.0, 120_000.0,
 ];
 
-/// The metrics of this process.
+/// Handle of the metrics of this process.
 #[derive(Clone)]
 pub struct Metrics(PrometheusHandle);
 
 impl Metrics {
-    /// All metrics, in the text format that scrapers read.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         self.0.render()
     }
 
-    /// Empties the recorder's buffers; to be called every few seconds.
+    /// Drains the recorder's sample buffers, which otherwise grow. To be called every few seconds.
     pub fn upkeep(&self) {
         self.0.run_upkeep();
     }
 }
 
-/// Starts to record metrics.
+/// Installs the metrics recorder of the process.
 pub fn start_metrics() -> Result<Metrics, BuildError> {
     PrometheusBuilder::new().set_buckets(BUCKETS_MS)?.install_recorder().map(Metrics)
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines on standard output, and metrics for scraping.
+//! Logs as JSON lines on standard output, and metrics in the Prometheus format.
 
 mod logs;
-mod numbers;
+mod metrics;
 
-pub use logs::{LogsError, Writing, flush_logs, start_logs};
-pub use numbers::{Metrics, start_metrics};
+pub use logs::{LogsError, WriteMode, flush_logs, start_logs};
+pub use metrics::{Metrics, start_metrics};
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,31 +1,32 @@
-//! Clock values. Decision logic never reads a clock: it is handed one of these.
+//! Clock values. Decision logic does not read clocks; it receives these values as arguments.
 
 use crate::prelude::*;
 
-/// A reading of a process's monotonic clock, in milliseconds. Never compared across processes.
+/// A reading of a process's monotonic clock, in milliseconds. Not comparable across processes.
 #[key]
 #[derive(Default)]
 pub struct TimeMs(pub u64);
 
 impl TimeMs {
-    /// The reading `duration_ms` later.
+    /// The time `duration_ms` later, saturating at the maximum.
     pub fn plus(self, duration_ms: u64) -> TimeMs {
         TimeMs(self.0.saturating_add(duration_ms))
     }
 
-    /// Milliseconds since `earlier`; zero if `earlier` lies ahead.
+    /// Milliseconds since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: TimeMs) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Wall-clock time, in milliseconds since 1970. Used only against the log's retention.
+/// Wall-clock time, in milliseconds since the Unix epoch. Compared only with the retention time of
+/// the log.
 #[wire_key]
 #[derive(Default)]
 pub struct UnixMs(pub u64);
 
 impl UnixMs {
-    /// Milliseconds since `earlier`; zero if `earlier` lies ahead.
+    /// Milliseconds since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: UnixMs) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -38,19 +39,19 @@
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Creates a clock whose monotonic time starts at zero.
     pub fn start() -> Clock {
         Clock { started: std::time::Instant::now() }
     }
 
-    /// Monotonic time since the start.
+    /// The monotonic time since the clock was created.
     pub fn now(&self) -> TimeMs {
         TimeMs(self.started.elapsed().as_millis() as u64)
     }
 
-    /// Wall-clock time.
+    /// The wall-clock time; zero if the system clock is set before 1970.
     pub fn unix(&self) -> UnixMs {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        UnixMs(since.map_or(0, |passed| passed.as_millis() as u64))
+        UnixMs(since.map_or(0, |elapsed| elapsed.as_millis() as u64))
     }
 }
