--- a/src/bin/trefoilctl.rs
+++ b/src/bin/trefoilctl.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! The operators' tool: see `trefoilctl --help`.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let invocation = match Invocation::read(&args, |name| std::env::var(name).ok()) {
+    let invocation = match Invocation::parse(&args, |name| std::env::var(name).ok()) {
         Ok(Some(invocation)) => invocation,
         Ok(None) => {
             println!("{}", usage());
@@ -18,7 +18,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(fault) => {
-            eprintln!("trefoilctl: {fault}");
+            eprintln!("trefoilctl: cannot start the async runtime: {fault}");
             return ExitCode::FAILURE;
         }
     };
--- a/src/contracts/config_state.rs
+++ b/src/contracts/config_state.rs
@@ -55,7 +55,7 @@
     /// The offset of the last applied record.
     through: Offset,
     workspaces: HashMap<WorkspaceId, Workspace>,
-    /// Calls, by digest, that were running on engines when these crashed.
+    /// The engine crashes during which a call was running, by the call's digest.
     suspects: HashMap<(WorkspaceId, Digest), Vec<Crash>>,
     /// Granted keys by the slot of their digest. Different digests can share a slot.
     slots: HashMap<u64, Vec<(WorkspaceId, KeyId)>>,
@@ -114,8 +114,8 @@
         recorded.map_or(&[], Vec::as_slice)
     }
 
-    /// Whether the call is suspected of crashing engines, given the recorded crashes and those in
-    /// `unrecorded`, which may not be in the log yet.
+    /// Whether the call is known to crash engines, only suspected of it, or neither, given the recorded
+    /// crashes and those in `unrecorded`, which may not be in the log yet.
     pub fn crash_status(
         &self,
         workspace: &WorkspaceId,
@@ -154,6 +154,7 @@
             }
             ConfigRecord::Cleared { workspace, digest } => {
                 let key = (workspace.clone(), *digest);
+                // A call that crashed an engine while running alone remains poison.
                 let is_poison = |crashes: &Vec<Crash>| crashes.iter().any(|crash| crash.alone);
                 if !self.suspects.get(&key).is_some_and(is_poison) {
                     self.suspects.remove(&key);
@@ -161,8 +162,8 @@
                 ApplyOutcome::Applied
             }
             // A reader that has applied all earlier records already has the state in the snapshot.
-            // It has newer state if a change was appended between the taking and the append of the
-            // snapshot.
+            // It has newer state if a change was appended after the snapshot was taken and before
+            // the snapshot was appended.
             ConfigRecord::Snapshot(_) => ApplyOutcome::Ignored,
         };
         self.through = offset;
@@ -226,25 +227,25 @@
             Operation::Withdraw => {
                 state.contract = None;
                 let keys = std::mem::take(&mut state.keys);
-                keys.iter().for_each(|(key, digest)| self.clear_slot(workspace, key, digest));
+                keys.iter().for_each(|(key, digest)| self.remove_from_slot(workspace, key, digest));
             }
             Operation::Grant { key, digest } => {
                 if let Some(old) = state.keys.insert(key.clone(), *digest) {
-                    self.clear_slot(workspace, key, &old);
+                    self.remove_from_slot(workspace, key, &old);
                 }
                 let slot = self.slots.entry(digest.slot()).or_default();
                 slot.push((workspace.clone(), key.clone()));
             }
             Operation::Revoke { key } => {
                 if let Some(digest) = state.keys.remove(key) {
-                    self.clear_slot(workspace, key, &digest);
+                    self.remove_from_slot(workspace, key, &digest);
                 }
             }
         }
         ChangeOutcome::Accepted(offset)
     }
 
-    fn clear_slot(&mut self, workspace: &WorkspaceId, key: &KeyId, digest: &KeyDigest) {
+    fn remove_from_slot(&mut self, workspace: &WorkspaceId, key: &KeyId, digest: &KeyDigest) {
         if let Some(slot) = self.slots.get_mut(&digest.slot()) {
             slot.retain(|(id, known)| (id, known) != (workspace, key));
             if slot.is_empty() {
--- a/src/contracts/declaration.rs
+++ b/src/contracts/declaration.rs
@@ -78,7 +78,7 @@
     workspace: String,
     rate_per_s: i64,
     burst: i64,
-    program: ProgramFile,
+    program: ProgramTable,
     #[serde(default)]
     models: Vec<String>,
     #[serde(default)]
@@ -89,7 +89,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ProgramFile {
+struct ProgramTable {
     budget_tokens: i64,
     max_turns: i64,
 }
--- a/src/contracts/record.rs
+++ b/src/contracts/record.rs
@@ -30,8 +30,8 @@
 pub enum ConfigRecord {
     /// An operator's change.
     Change {
-        /// Random id of the change. By it a publisher finds out whether an append that was not
-        /// answered took effect.
+        /// Random id of the change. It lets a publisher find out whether an append took effect whose
+        /// answer was lost.
         id: u64,
         /// The workspace.
         workspace: WorkspaceId,
@@ -68,7 +68,7 @@
     pub through: Offset,
     /// All workspaces, including those whose contract is withdrawn.
     pub workspaces: Vec<WorkspaceSnapshot>,
-    /// Calls, by digest, that were running on engines when these crashed, with the crashes.
+    /// The engine crashes during which a call was running, by workspace and digest of the call.
     pub suspects: Vec<(WorkspaceId, Digest, Vec<Crash>)>,
 }
 
--- a/src/contracts/tests.rs
+++ b/src/contracts/tests.rs
@@ -129,9 +129,9 @@
             let before = config_state.through();
             config_state.apply(*at, record);
             prop_assert!(config_state.through() > before);
-            let again = config_state.clone();
+            let expected = config_state.clone();
             config_state.apply(Offset(at.0 / 2 + 1), record);
-            prop_assert_eq!(&config_state, &again);
+            prop_assert_eq!(&config_state, &expected);
         }
     }
 }
--- a/src/ctl/command.rs
+++ b/src/ctl/command.rs
@@ -1,4 +1,5 @@
 use std::net::SocketAddr;
+use std::str::FromStr;
 use std::time::Duration;
 
 use getopts::{Matches, Options};
@@ -9,7 +10,7 @@
 use crate::ids::InvalidName;
 use crate::prelude::*;
 
-/// What the tool can do, for its help text.
+/// The head of the help text; the flags follow it.
 pub const BRIEF: &str = "\
 Usage: trefoilctl COMMAND [ARGUMENT ...] [--FLAG VALUE ...]
 
@@ -19,39 +20,41 @@
     publish FILE            put a contract in force, or change the one in force
     withdraw WORKSPACE      take a contract out of force; its keys stop working
     grant WORKSPACE KEY-ID  let a key act for a workspace; the key is read from standard input
-    revoke WORKSPACE KEY-ID stop a key
-    status                  show what is in force, and how far each entry has it
+    revoke WORKSPACE KEY-ID revoke a key of a workspace
+    status                  show the configuration in force, and each entry's version of it
     explain request ID [LOG ...]
-                            show a request's way and how it ended, from logs (or standard input)
+                            show a request's log lines and how it ended, from log files
+                            (or standard input)
     explain program ID [LOG ...]
-                            show a program's turns and calls in order
-    explain lost [LOG ...]  count what was refused, failed or came late
+                            show a program's turns and calls in order, and how it ended
+    explain lost [LOG ...]  count requests that were refused, failed or answered too late
 
-Exit codes: 0 done, 1 log or VM list unreachable, 2 wrong usage, 3 bad file or name,
-4 conflict or no such workspace, 5 accepted but not in force everywhere yet, 6 not in the logs.";
+Exit codes: 0 done, 1 log or VM list unreachable, or configuration lost, 2 wrong usage,
+3 bad file or name, 4 conflict or no such workspace, 5 accepted but not in force everywhere yet,
+6 id not found in the logs.";
 
-/// A command.
+/// A command of the tool, with its arguments.
 #[value]
 pub enum Command {
-    /// Check contract files.
+    /// Check contract files; publish nothing.
     Validate(Vec<String>),
-    /// Compare a file with what is in force.
+    /// Compare a contract file with the contract in force.
     Diff(String),
-    /// Put a file in force.
+    /// Publish a contract file.
     Publish(String),
     /// Take a contract out of force.
     Withdraw(WorkspaceId),
-    /// Let a key act.
+    /// Let a key act for a workspace.
     Grant(WorkspaceId, KeyId),
-    /// Stop a key.
+    /// Revoke a key of a workspace.
     Revoke(WorkspaceId, KeyId),
-    /// Show what is in force.
+    /// Show the configuration in force.
     Status,
-    /// Show what logs tell.
+    /// Show a request, a program or the lost requests, from log files.
     Explain {
-        /// A request or program; what was lost, if there is none.
+        /// The request or program to show; `None` reports lost requests.
         subject: Option<Subject>,
-        /// Files of logs; standard input if there are none.
+        /// Log files; standard input if there are none.
         logs: Vec<String>,
     },
 }
@@ -61,46 +64,63 @@
 pub struct Invocation {
     /// The command.
     pub command: Command,
-    /// The platform's log.
+    /// The address of the platform's log.
     pub log: Option<SocketAddr>,
-    /// The platform's list of VMs.
+    /// The address of the platform's list of VMs.
     pub vm_list: Option<SocketAddr>,
     /// Whether to wait until the change is in force on every entry.
     pub wait: bool,
-    /// How long to wait.
+    /// How long to wait for that.
     pub wait_timeout: Duration,
-    /// How long one call may take.
+    /// Timeout of one call to the log, the list of VMs or an entry.
     pub timeout: Duration,
-    /// The version that the change was made for; the one in force if absent.
+    /// The version of the workspace's contract that the change is based on; the one in force if
+    /// absent. The change is refused if another version is in force.
     pub base: Option<Offset>,
-    /// Where to write a plot of what was lost.
+    /// The SVG file to write a plot of lost requests to.
     pub plot: Option<String>,
-    /// Whether to print JSON.
+    /// Whether to print JSON rather than text.
     pub json: bool,
 }
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "log", "the platform's log (or TREFOIL_LOG)", "IP:PORT");
-    options.optopt("", "vm-list", "the platform's list of VMs (or TREFOIL_VM_LIST)", "IP:PORT");
-    options.optopt("", "base", "the version that the change was made for", "VERSION");
+    options.optopt("", "log", "address of the platform's log (or TREFOIL_LOG)", "IP:PORT");
+    options.optopt(
+        "",
+        "vm-list",
+        "address of the platform's list of VMs (or TREFOIL_VM_LIST)",
+        "IP:PORT",
+    );
+    options.optopt(
+        "",
+        "base",
+        "version that the change is based on [default: the one in force]",
+        "VERSION",
+    );
     options.optflag("", "wait", "wait until the change is in force on every entry");
-    options.optopt("", "wait-timeout-ms", "how long to wait [default: 10000]", "MS");
-    options.optopt("", "timeout-ms", "how long a call may take [default: 5000]", "MS");
-    options.optopt("", "plot", "write a plot of what was lost by second", "FILE.svg");
-    options.optflag("", "json", "print one JSON object");
+    options.optopt("", "wait-timeout-ms", "how long --wait waits [default: 10000]", "MS");
+    options.optopt("", "timeout-ms", "timeout of one call [default: 5000]", "MS");
+    options.optopt(
+        "",
+        "plot",
+        "write a plot of lost requests by second (explain lost)",
+        "FILE.svg",
+    );
+    options.optflag("", "json", "print one JSON object instead of text");
     options.optflag("h", "help", "print this help");
     options
 }
 
-/// The help text.
+/// The whole help text, with all flags.
 pub fn usage() -> String {
     options().usage(BRIEF)
 }
 
 impl Invocation {
-    /// Reads the command line; `None` asks for the help text.
-    pub fn read(
+    /// Parses the command line, with `env` as the source of environment variables. Returns `None` if
+    /// the help text is to be shown.
+    pub fn parse(
         args: &[String],
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Option<Invocation>, CtlError> {
@@ -110,17 +130,18 @@
         }
         let address = |flag: &str, variable: &str| {
             let text = matches.opt_str(flag).or_else(|| env(variable));
-            text.map(|text| parse(flag, &text)).transpose()
+            let source = format!("--{flag} (or {variable})");
+            text.map(|text| parse_value(&source, &text, "an address IP:PORT")).transpose()
         };
         Ok(Some(Invocation {
-            command: read_command(&matches)?,
+            command: parse_command(&matches)?,
             log: address("log", "TREFOIL_LOG")?,
             vm_list: address("vm-list", "TREFOIL_VM_LIST")?,
             wait: matches.opt_present("wait"),
-            wait_timeout: Duration::from_millis(number(&matches, "wait-timeout-ms", 10_000)?),
-            timeout: Duration::from_millis(number(&matches, "timeout-ms", 5_000)?),
+            wait_timeout: Duration::from_millis(parse_number(&matches, "wait-timeout-ms", 10_000)?),
+            timeout: Duration::from_millis(parse_number(&matches, "timeout-ms", 5_000)?),
             base: match matches.opt_present("base") {
-                true => Some(Offset(number(&matches, "base", 0)?)),
+                true => Some(Offset(parse_number(&matches, "base", 0)?)),
                 false => None,
             },
             plot: matches.opt_str("plot"),
@@ -129,15 +150,17 @@
     }
 }
 
-fn parse<T: std::str::FromStr>(flag: &str, text: &str) -> Result<T, CtlError> {
-    text.parse().map_err(|_| CtlError::Usage(format!("--{flag}: {text:?} can't be read")))
+fn parse_value<T: FromStr>(source: &str, text: &str, expected: &str) -> Result<T, CtlError> {
+    text.parse().map_err(|_| CtlError::Usage(format!("{source}: {text:?} is not {expected}")))
 }
 
-fn number(matches: &Matches, flag: &str, default: u64) -> Result<u64, CtlError> {
-    matches.opt_str(flag).map_or(Ok(default), |text| parse(flag, &text))
+fn parse_number(matches: &Matches, flag: &str, default: u64) -> Result<u64, CtlError> {
+    let source = format!("--{flag}");
+    let text = matches.opt_str(flag);
+    text.map_or(Ok(default), |text| parse_value(&source, &text, "a whole number, 0 or more"))
 }
 
-fn read_command(matches: &Matches) -> Result<Command, CtlError> {
+fn parse_command(matches: &Matches) -> Result<Command, CtlError> {
     let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["validate", files @ ..] if !files.is_empty() => {
@@ -154,17 +177,20 @@
         }
         ["status"] => Ok(Command::Status),
         ["explain", "request", id, logs @ ..] => {
-            Ok(explain(Some(Subject::Request((*id).into())), logs))
+            Ok(explain_command(Some(Subject::Request((*id).into())), logs))
         }
         ["explain", "program", id, logs @ ..] => {
-            Ok(explain(Some(Subject::Program((*id).into())), logs))
+            Ok(explain_command(Some(Subject::Program((*id).into())), logs))
         }
-        ["explain", "lost", logs @ ..] => Ok(explain(None, logs)),
-        _ => Err(CtlError::Usage(format!("can't read the command {:?}", words.join(" ")))),
+        ["explain", "lost", logs @ ..] => Ok(explain_command(None, logs)),
+        _ => Err(CtlError::Usage(format!(
+            "unknown command, or wrong number of arguments: {:?}; see `trefoilctl --help`",
+            words.join(" ")
+        ))),
     }
 }
 
-fn explain(subject: Option<Subject>, logs: &[&str]) -> Command {
+fn explain_command(subject: Option<Subject>, logs: &[&str]) -> Command {
     Command::Explain { subject, logs: logs.iter().map(|log| log.to_string()).collect() }
 }
 
@@ -173,6 +199,7 @@
 }
 
 fn parse_key_id(text: &str) -> Result<KeyId, CtlError> {
+    // A key id obeys the same rules as a model name, but `KeyId` has no parser of its own.
     let checked: Result<ModelName, InvalidName> = ModelName::parse(text);
     checked
         .map(|name| KeyId(name.as_str().into()))
--- a/src/ctl/error.rs
+++ b/src/ctl/error.rs
@@ -1,7 +1,7 @@
 use std::fmt;
 
 use crate::contracts::{Conflict, DeclarationError};
-use crate::explain::PlotFault;
+use crate::explain::PlotError;
 use crate::ids::InvalidName;
 use crate::logstore::LogFault;
 use crate::prelude::*;
@@ -9,64 +9,65 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub enum CtlError {
-    /// The command line is wrong.
+    /// The command line, or the key on standard input, is wrong.
     Usage(String),
     /// A file could not be read.
     File {
-        /// The file.
+        /// The file, or `standard input`.
         path: String,
-        /// Why.
+        /// The kind of I/O error.
         fault: std::io::ErrorKind,
     },
-    /// A contract file was refused. Nothing was published.
+    /// A contract file is invalid. Nothing was published.
     Declaration {
         /// The file.
         path: String,
-        /// Why.
+        /// What is wrong with it.
         fault: DeclarationError,
     },
-    /// A name on the command line is wrong.
+    /// A name on the command line is invalid.
     Name {
-        /// What it names.
+        /// What it is the name of.
         what: &'static str,
-        /// Why it was refused.
+        /// What is wrong with it.
         fault: InvalidName,
     },
-    /// The log gave no answer. Nothing was published, unless `maybe_published`.
+    /// A call to the log failed.
     Log {
-        /// Why.
+        /// Why the call failed.
         fault: LogFault,
-        /// Whether the change may have taken effect all the same.
+        /// Whether a change was to be published and the call that failed last may have reached the log.
         maybe_published: bool,
     },
-    /// The configuration's records have expired and no snapshot stands for them.
+    /// The configuration's first records have expired and the log holds no snapshot that replaces them,
+    /// or the log confirmed every append of a change but none is in the stream.
     ConfigurationLost,
-    /// Another operator's change came first. Nothing was changed.
+    /// Another operator's change was published first. Nothing was changed.
     Conflict(Conflict),
     /// The workspace has no contract.
     NoSuchWorkspace(WorkspaceId),
     /// The change is accepted, but not in force everywhere yet.
     NotInForce {
-        /// The change.
+        /// The change's offset in the configuration stream, which is its version.
         offset: Offset,
-        /// Entries that lack it.
+        /// The entries that did not report it in force.
         lagging: Vec<String>,
     },
-    /// The list of VMs gave no answer.
+    /// The list of VMs could not be read.
     VmList,
-    /// No line of the logs is about the request or program.
+    /// No log line is about the request or program.
     NotInLogs {
         /// Its id.
         id: Arc<str>,
-        /// Lines that were read.
+        /// The number of log lines read.
         lines: u64,
     },
     /// A plot could not be written.
-    Plot(PlotFault),
+    Plot(PlotError),
 }
 
 impl CtlError {
-    /// The exit code that scripts see.
+    /// The exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CtlError::Log { .. } | CtlError::VmList | CtlError::ConfigurationLost => 1,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The code that `--json` prints.
+    /// The error code in the output of `--json`.
     pub fn code(&self) -> &'static str {
         match self {
             CtlError::Usage(_) => "usage",
@@ -104,30 +105,40 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CtlError::Usage(fault) => write!(f, "{fault}"),
-            CtlError::File { path, fault } => write!(f, "{path}: {fault}"),
+            CtlError::File { path, fault } => write!(f, "cannot read {path}: {fault}"),
             CtlError::Declaration { path, fault } => write!(f, "{path}: {fault}"),
-            CtlError::Name { what, fault } => write!(f, "{what}: {fault}"),
+            CtlError::Name { what, fault } => write!(f, "invalid {what}: {fault}"),
             CtlError::Log { maybe_published: true, .. } => f.write_str(
-                "the log did not answer; the change may be in force: see `trefoilctl status`",
+                "the log did not confirm the change, which may be in force: \
+                 see `trefoilctl status`",
             ),
-            CtlError::Log { .. } => f.write_str("the log did not answer; nothing was changed"),
-            CtlError::ConfigurationLost => {
-                f.write_str("the log no longer holds the configuration, nor a snapshot of it")
+            CtlError::Log { .. } => {
+                f.write_str("the log (--log) is unreachable or gave no valid answer")
             }
+            CtlError::ConfigurationLost => f.write_str(
+                "the log does not hold all configuration records, \
+                 nor a snapshot that replaces the missing ones",
+            ),
             CtlError::Conflict(Conflict { winner, base }) => write!(
                 f,
-                "another change came first: version {winner} is in force, yours was made for \
+                "another change came first: version {winner} is in force, yours is based on \
                  version {base}; nothing was changed"
             ),
             CtlError::NoSuchWorkspace(workspace) => {
                 write!(f, "workspace {workspace} has no contract; nothing was changed")
             }
             CtlError::NotInForce { offset, lagging } => {
-                write!(f, "change {offset} is not in force yet on: {}", lagging.join(", "))
+                write!(
+                    f,
+                    "version {offset} is accepted, but not in force yet on: {}",
+                    lagging.join(", ")
+                )
+            }
+            CtlError::VmList => {
+                f.write_str("the list of VMs (--vm-list) is unreachable or gave no valid answer")
             }
-            CtlError::VmList => f.write_str("the list of VMs did not answer"),
             CtlError::NotInLogs { id, lines } => {
-                write!(f, "none of the {lines} lines read is about {id}")
+                write!(f, "none of the {lines} log lines read is about {id}")
             }
             CtlError::Plot(fault) => write!(f, "{fault}"),
         }
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' tool: declares contracts and keys, and shows what is in force.
+//! `trefoilctl`, the operators' tool: publishes contracts and keys, shows the configuration in force,
+//! and evaluates logs.
 
 mod command;
 mod error;
--- a/src/ctl/publisher.rs
+++ b/src/ctl/publisher.rs
@@ -8,21 +8,21 @@
 use crate::logstore::{LogClient, LogFault};
 use crate::prelude::*;
 
-/// Tries to find or send a change whose append was not answered.
-const TRIES: usize = 3;
+/// How often a change is appended at most, until it is found in the stream.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Publishes changes to the configuration stream.
+/// Publishes changes to the configuration stream, and holds the configuration read from it.
 pub(super) struct Publisher {
     log: LogClient,
     config_state: ConfigState,
 }
 
-fn unreachable(fault: LogFault) -> CtlError {
+fn read_failed(fault: LogFault) -> CtlError {
     CtlError::Log { fault, maybe_published: false }
 }
 
 impl Publisher {
-    /// Reads the configuration in force.
+    /// Reads the whole configuration stream and builds the configuration from it.
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Publisher, CtlError> {
         let log = LogClient::open(Client::open(), address, timeout);
         let mut records = Vec::new();
@@ -30,7 +30,7 @@
         let mut earliest = None;
         loop {
             let page = log.read::<ConfigRecord>(CONFIG_STREAM, from, Duration::ZERO).await;
-            let page = page.map_err(unreachable)?;
+            let page = page.map_err(read_failed)?;
             let at_end = page.at_end();
             earliest.get_or_insert(page.earliest);
             records.extend(page.records);
@@ -44,14 +44,15 @@
         Ok(Publisher { log, config_state: config_state.ok_or(CtlError::ConfigurationLost)? })
     }
 
-    /// The configuration as far as it was read.
+    /// The configuration as of the last record read.
     pub fn config_state(&self) -> &ConfigState {
         &self.config_state
     }
 
-    /// Publishes a change and reads back what became of it. An append that was not answered is
-    /// looked for by the change's number before it is sent again; of two copies only one counts,
-    /// because the first moves the version on that both were made for.
+    /// Appends a change and reads back whether it was accepted. The append may go unanswered and yet
+    /// succeed, so the stream is searched for the change's id before the change is sent again. If two
+    /// copies reach the stream, only one takes effect: the first advances the version that both are
+    /// based on, so that the second conflicts.
     pub async fn publish(
         &mut self,
         workspace: WorkspaceId,
@@ -61,10 +62,10 @@
         let id = rand::random();
         let record = ConfigRecord::Change { id, workspace, base, operation };
         let mut last_fault = None;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let sent = self.log.append(CONFIG_STREAM, std::slice::from_ref(&record)).await;
             last_fault = sent.err().or(last_fault);
-            match self.find(id).await {
+            match self.find_change(id).await {
                 Ok(Some(ChangeOutcome::Accepted(offset))) => return Ok(offset),
                 Ok(Some(ChangeOutcome::Conflict(conflict))) => {
                     return Err(CtlError::Conflict(conflict));
@@ -82,15 +83,16 @@
         }
     }
 
-    /// Reads on to the end of the stream; returns what became of a change, if it is there.
-    async fn find(&mut self, wanted: u64) -> Result<Option<ChangeOutcome>, LogFault> {
+    /// Reads to the end of the stream and returns the outcome of the change with this id, if the
+    /// stream holds it.
+    async fn find_change(&mut self, change_id: u64) -> Result<Option<ChangeOutcome>, LogFault> {
         let mut found = None;
         loop {
             let from = self.config_state.through().plus(1);
             let page = self.log.read::<ConfigRecord>(CONFIG_STREAM, from, Duration::ZERO).await?;
             for stored in &page.records {
                 match self.config_state.apply(stored.offset, &stored.data) {
-                    ApplyOutcome::Change { id, change } if id == wanted && found.is_none() => {
+                    ApplyOutcome::Change { id, change } if id == change_id && found.is_none() => {
                         found = Some(change);
                     }
                     _ => {}
--- a/src/ctl/run.rs
+++ b/src/ctl/run.rs
@@ -5,41 +5,41 @@
 use crate::contracts::{Contract, Declaration, KeyDigest, Operation, parse_declaration};
 use crate::ctl::explain::explain;
 use crate::ctl::publisher::Publisher;
-use crate::ctl::status::{entries, wait_in_force};
+use crate::ctl::status::{fetch_statuses, wait_in_force};
 use crate::ctl::{Command, CtlError, Invocation};
 use crate::prelude::*;
 
-/// What a command prints: text for people, JSON for scripts.
+/// What a command prints: the text, or the JSON with `--json`.
 pub struct Output {
-    /// For people.
+    /// Text for people.
     pub text: String,
-    /// For scripts.
+    /// JSON for scripts.
     pub json: Value,
 }
 
-/// Runs a command. `key` gives the key for `grant`.
+/// Runs a command. `key_input` reads the key for `grant`; other commands do not call it.
 pub async fn run(
     invocation: &Invocation,
-    key: impl FnOnce() -> std::io::Result<String>,
+    key_input: impl FnOnce() -> std::io::Result<String>,
 ) -> Result<Output, CtlError> {
     match &invocation.command {
         Command::Validate(files) => validate(files),
         Command::Diff(file) => diff(invocation, file).await,
         Command::Publish(file) => {
             let Declaration { workspace, contract } = read_declaration(file)?;
-            change(invocation, workspace, Operation::Publish { contract }).await
+            publish_change(invocation, workspace, Operation::Publish { contract }).await
         }
         Command::Withdraw(workspace) => {
-            change(invocation, workspace.clone(), Operation::Withdraw).await
+            publish_change(invocation, workspace.clone(), Operation::Withdraw).await
         }
         Command::Grant(workspace, id) => {
-            let digest = read_key(key)?;
+            let digest = read_key(key_input)?;
             let operation = Operation::Grant { key: id.clone(), digest };
-            change(invocation, workspace.clone(), operation).await
+            publish_change(invocation, workspace.clone(), operation).await
         }
         Command::Revoke(workspace, id) => {
             let operation = Operation::Revoke { key: id.clone() };
-            change(invocation, workspace.clone(), operation).await
+            publish_change(invocation, workspace.clone(), operation).await
         }
         Command::Status => status(invocation).await,
         Command::Explain { subject, logs } => {
@@ -55,20 +55,24 @@
         .map_err(|fault| CtlError::Declaration { path: path.to_string(), fault })
 }
 
-fn read_key(key: impl FnOnce() -> std::io::Result<String>) -> Result<KeyDigest, CtlError> {
+fn read_key(key_input: impl FnOnce() -> std::io::Result<String>) -> Result<KeyDigest, CtlError> {
     const MIN_KEY_BYTES: usize = 16;
-    let key = key()
+    let key = key_input()
         .map_err(|fault| CtlError::File { path: "standard input".into(), fault: fault.kind() })?;
     let key = key.trim();
     if key.len() < MIN_KEY_BYTES {
-        let fault = format!("a key has at least {MIN_KEY_BYTES} characters");
+        let fault = format!(
+            "the key on standard input is too short: a key has at least {MIN_KEY_BYTES} bytes"
+        );
         return Err(CtlError::Usage(fault));
     }
     Ok(KeyDigest::of_key(key))
 }
 
-fn required(address: Option<SocketAddr>, flag: &str) -> Result<SocketAddr, CtlError> {
-    address.ok_or_else(|| CtlError::Usage(format!("--{flag} is required")))
+fn required_address(address: Option<SocketAddr>, flag: &str) -> Result<SocketAddr, CtlError> {
+    address.ok_or_else(|| {
+        CtlError::Usage(format!("--{flag} IP:PORT (or its environment variable) is required"))
+    })
 }
 
 fn validate(files: &[String]) -> Result<Output, CtlError> {
@@ -84,7 +88,7 @@
 
 async fn diff(invocation: &Invocation, file: &str) -> Result<Output, CtlError> {
     let Declaration { workspace, contract } = read_declaration(file)?;
-    let log = required(invocation.log, "log")?;
+    let log = required_address(invocation.log, "log")?;
     let publisher = Publisher::open(log, invocation.timeout).await?;
     let version = publisher.config_state().version(&workspace);
     let before = publisher.config_state().contract(&workspace);
@@ -105,7 +109,7 @@
     })
 }
 
-/// The fields in which two contracts differ, with both values.
+/// The fields of `after` whose values differ from those of `before`: name, old value and new value.
 fn differences(before: Option<&Contract>, after: &Contract) -> Vec<(String, Value, Value)> {
     let before = serde_json::to_value(before).unwrap_or_default();
     let after = serde_json::to_value(after).unwrap_or_default();
@@ -117,12 +121,12 @@
         .collect()
 }
 
-async fn change(
+async fn publish_change(
     invocation: &Invocation,
     workspace: WorkspaceId,
     operation: Operation,
 ) -> Result<Output, CtlError> {
-    let log = required(invocation.log, "log")?;
+    let log = required_address(invocation.log, "log")?;
     let mut publisher = Publisher::open(log, invocation.timeout).await?;
     let needs_contract = !matches!(operation, Operation::Publish { .. });
     if needs_contract && publisher.config_state().contract(&workspace).is_none() {
@@ -131,7 +135,7 @@
     let base = invocation.base.unwrap_or(publisher.config_state().version(&workspace));
     let offset = publisher.publish(workspace.clone(), base, operation).await?;
     if invocation.wait {
-        let vm_list = required(invocation.vm_list, "vm-list")?;
+        let vm_list = required_address(invocation.vm_list, "vm-list")?;
         wait_in_force(vm_list, offset, invocation.timeout, invocation.wait_timeout).await?;
     }
     let state = if invocation.wait { "in force on every entry" } else { "accepted" };
@@ -142,7 +146,7 @@
 }
 
 async fn status(invocation: &Invocation) -> Result<Output, CtlError> {
-    let log = required(invocation.log, "log")?;
+    let log = required_address(invocation.log, "log")?;
     let publisher = Publisher::open(log, invocation.timeout).await?;
     let config_state = publisher.config_state();
     let mut workspaces: Vec<Value> = config_state
@@ -158,7 +162,7 @@
         .collect();
     workspaces.sort_by_key(|found| found["workspace"].to_string());
     let entries = match invocation.vm_list {
-        Some(vm_list) => entries(vm_list, invocation.timeout).await?,
+        Some(vm_list) => fetch_statuses(vm_list, invocation.timeout).await?,
         None => Vec::new(),
     };
     let mut lines = vec![format!("configuration {}", config_state.through())];
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -8,18 +8,19 @@
 use crate::membership::VmList;
 use crate::prelude::*;
 
-const STATUS: &str = "/status";
-const POLL: Duration = Duration::from_millis(100);
+const STATUS_PATH: &str = "/status";
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an entry says of itself.
+/// An entry's answer to `/status`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// The VM.
+    /// The name of its VM.
     pub vm: String,
-    /// The last configuration record that is in force there; absent if it gave no answer.
+    /// The offset of the last configuration record in force there; absent if the entry did not answer.
     #[serde(default)]
     pub config: Option<Offset>,
-    /// How long ago it knew that to be the newest.
+    /// The time since the entry last knew this record to be the newest; absent if it never did or did
+    /// not answer.
     #[serde(default)]
     pub config_age_ms: Option<u64>,
     /// The shards that it owns.
@@ -27,8 +28,8 @@
     pub shards: Vec<u16>,
 }
 
-/// Asks every listed entry.
-pub(super) async fn entries(
+/// Asks every entry in the list of VMs for its status, one after another.
+pub(super) async fn fetch_statuses(
     vm_list: SocketAddr,
     timeout: Duration,
 ) -> Result<Vec<EntryStatus>, CtlError> {
@@ -36,14 +37,15 @@
     let list: VmList = http.get(vm_list, "/vms", timeout).await.map_err(|_| CtlError::VmList)?;
     let mut statuses = Vec::new();
     for vm in list.vms.into_iter().filter(|vm| vm.is_entry()) {
-        let silent =
+        let unreachable =
             EntryStatus { vm: vm.vm, config: None, config_age_ms: None, shards: Vec::new() };
-        statuses.push(http.get(vm.address, STATUS, timeout).await.unwrap_or(silent));
+        statuses.push(http.get(vm.address, STATUS_PATH, timeout).await.unwrap_or(unreachable));
     }
     Ok(statuses)
 }
 
-/// Waits until every listed entry has a change in force.
+/// Polls until every entry in the list of VMs has the change at `offset` in force. Fails with
+/// `NotInForce` if some still lack it after `wait`, and at once if the list can't be read.
 pub(super) async fn wait_in_force(
     vm_list: SocketAddr,
     offset: Offset,
@@ -52,15 +54,16 @@
 ) -> Result<(), CtlError> {
     let deadline = tokio::time::Instant::now() + wait;
     loop {
-        let entries = entries(vm_list, call_timeout).await?;
-        let lags = |entry: &&EntryStatus| entry.config.is_none_or(|config| config < offset);
-        let lagging: Vec<String> = entries.iter().filter(lags).map(|e| e.vm.clone()).collect();
+        let entries = fetch_statuses(vm_list, call_timeout).await?;
+        let is_lagging = |entry: &&EntryStatus| entry.config.is_none_or(|config| config < offset);
+        let lagging: Vec<String> =
+            entries.iter().filter(is_lagging).map(|e| e.vm.clone()).collect();
         if lagging.is_empty() {
             return Ok(());
         }
         if tokio::time::Instant::now() >= deadline {
             return Err(CtlError::NotInForce { offset, lagging });
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/daemon/admin.rs
+++ b/src/daemon/admin.rs
@@ -43,7 +43,10 @@
     }
 
     /// Sets the function that computes the response to `/status`.
-    pub fn report(&self, status: impl Fn() -> serde_json::Value + Send + Sync + 'static) {
+    pub fn set_status_source(
+        &self,
+        status: impl Fn() -> serde_json::Value + Send + Sync + 'static,
+    ) {
         *self.shared.status.write().expect("no thread panics while it holds the lock") =
             Some(Box::new(status));
     }
--- a/src/daemon/heartbeat_sender.rs
+++ b/src/daemon/heartbeat_sender.rs
@@ -18,6 +18,7 @@
     http: Client,
     vm_list: SocketAddr,
     socket: Arc<UdpSocket>,
+    /// The fields of every heartbeat. `state` and `role_status` are replaced in each one sent.
     template: Heartbeat,
     table: PeerTable,
     list_requested_at: Option<Instant>,
@@ -66,7 +67,8 @@
         self.socket.clone()
     }
 
-    /// Waits for the next interval, then sends a heartbeat to every entry of the VM list.
+    /// Waits for the next heartbeat interval, then sends a heartbeat to every entry process in the
+    /// VM list.
     pub async fn send_next(&mut self, state: PeerState, role_status: RoleStatus) {
         self.interval.tick().await;
         if let Some(list) = self.refresh_list().await {
@@ -91,8 +93,8 @@
         }
     }
 
-    /// Reads the platform's VM list, at most once per [`LIST_INTERVAL`]. Returns `None` if the list
-    /// is not due or cannot be read.
+    /// Reads the platform's VM list, at most once per [`LIST_INTERVAL`]. Returns `None` if the
+    /// interval has not passed or the list cannot be read.
     pub async fn refresh_list(&mut self) -> Option<VmList> {
         if self.list_requested_at.is_some_and(|at| at.elapsed() < LIST_INTERVAL) {
             return None;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! Parts shared by both roles of the daemon: health and metrics server, heartbeats and shutdown.
+//! Parts shared by both roles of the daemon, entry and endpoint: health and metrics server,
+//! heartbeats and shutdown.
 
 mod admin;
 mod error;
--- a/src/endpoint/process.rs
+++ b/src/endpoint/process.rs
@@ -73,7 +73,7 @@
     dispatcher.adopt_cache().await;
     admin.announce("endpoint", &settings.process.vm, &[("peer", peer_server.address)]);
     let status_source = dispatcher.clone();
-    admin.report(move || status_source.status());
+    admin.set_status_source(move || status_source.status());
     admin.set_ready(true);
     let heartbeat_sender = dispatcher.clone();
     let heartbeat_task =
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -132,5 +132,5 @@
 
 fn report_status(admin: &Admin, entry: &Arc<Entry>) {
     let entry = entry.clone();
-    admin.report(move || entry.status());
+    admin.set_status_source(move || entry.status());
 }
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -2,40 +2,40 @@
 
 use crate::prelude::*;
 
-/// Why a line can't be used.
+/// Why a line can't be parsed as a log line.
 #[key]
-pub enum Broken {
-    /// There is no JSON object in it.
+pub enum LineError {
+    /// It contains no JSON object.
     NoObject,
-    /// Its object is cut short or malformed.
+    /// Its JSON object is truncated or malformed.
     Malformed,
-    /// Its object lacks the time or the message that every line has.
+    /// Its object lacks `unix_ms` or `msg`, which every log line has.
     Incomplete,
 }
 
 /// One line of an entry's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// What a collector put before the object; it usually names the entry.
+    /// The text that a log collector put before the object; it usually names the entry.
     pub prefix: Arc<str>,
-    /// When it was written.
+    /// When it was written, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
-    /// What happened.
+    /// The log message (`msg`).
     pub message: Arc<str>,
-    /// What else it says.
+    /// All other fields.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line. Whatever stands before its JSON object is a prefix.
+    /// Parses a line. Whatever precedes its JSON object becomes the prefix.
     ///
     /// # Errors
-    /// If there is no whole object, or not one of a log line.
-    pub fn parse(text: &str) -> Result<LogLine, Broken> {
-        let start = text.find("{\"").ok_or(Broken::NoObject)?;
+    /// If the line has no complete JSON object, or the object lacks a time or a message.
+    pub fn parse(text: &str) -> Result<LogLine, LineError> {
+        let start = text.find("{\"").ok_or(LineError::NoObject)?;
         let (prefix, object) = text.split_at(start);
         let mut fields: Map<String, Value> =
-            serde_json::from_str(object).map_err(|_| Broken::Malformed)?;
+            serde_json::from_str(object).map_err(|_| LineError::Malformed)?;
         let unix_ms = fields.remove("unix_ms").and_then(|value| value.as_u64());
         let message = fields.remove("msg");
         let message = message.as_ref().and_then(Value::as_str);
@@ -44,32 +44,33 @@
                 let prefix = prefix.trim().into();
                 Ok(LogLine { prefix, unix_ms, message: message.into(), fields })
             }
-            _ => Err(Broken::Incomplete),
+            _ => Err(LineError::Incomplete),
         }
     }
 
-    /// A field that is text, unless it is empty.
+    /// The value of a string field; `None` if it is absent, empty or not a string.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str).filter(|text| !text.is_empty())
     }
 
-    /// A field that is a whole number.
+    /// The value of a field that is an unsigned integer.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// Whether it is about a request, and not about what an entry believes.
-    pub fn is_of_request(&self) -> bool {
+    /// Whether the line is about a request, rather than about the entry's own state.
+    pub fn has_request_id(&self) -> bool {
         self.fields.contains_key("request")
     }
 
-    /// The entry that wrote it, as far as its prefix names one: the last word that is no time.
+    /// The entry that wrote the line: the last word of its prefix that is not a number, as a time
+    /// would be. Empty if there is none.
     pub fn entry(&self) -> &str {
         let words = self.prefix.split_whitespace().rev();
         words.into_iter().find(|word| word.parse::<f64>().is_err()).unwrap_or_default()
     }
 
-    /// Its message and fields, but for where in the code it was written.
+    /// The message and the fields, except empty fields, the level and the source location (`from`).
     pub fn summary(&self) -> String {
         let shown = self.fields.iter().filter(|(name, value)| {
             !matches!(name.as_str(), "level" | "from") && **value != Value::String(String::new())
--- a/src/explain/lost.rs
+++ b/src/explain/loss_report.rs
@@ -2,86 +2,96 @@
 
 use serde_json::{Value, json};
 
-use super::{LogLine, Reading};
+use super::{LogLine, ReadStats};
 use crate::prelude::*;
 
-/// What is shown where a line does not tell.
-const NOT_TOLD: &str = "-";
+/// Shown for a workspace or class that the log line does not have.
+const MISSING_FIELD: &str = "-";
 
-/// Programs whose last request is remembered; what is lost of more is not counted.
-const PROGRAMS_MOST: usize = 200_000;
+/// Maximum number of programs whose last request is remembered, which bounds the memory. Further
+/// programs are missing from `programs`; each of their requests adds one to `programs_uncounted`.
+const MAX_PROGRAMS: usize = 200_000;
 
-/// Why requests were lost, and whose.
+/// Why requests were lost, and of which workspace and class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Cause {
-    /// The name of a refusal, `status N` of an answer, or `late`.
+pub struct LossCause {
+    /// The code of a refusal, `status N` for an error status, or `late`.
     pub name: Arc<str>,
-    /// The workspace.
+    /// The workspace, or `-` if the log line has none.
     pub workspace: Arc<str>,
-    /// The class of requests.
+    /// The class of the requests, or `-` if the log line has none.
     pub class: Arc<str>,
 }
 
-/// What was refused, failed or came late.
+/// Counts of lost requests: those that were refused, failed, or were answered after their target
+/// latency.
 #[derive(Debug, Default)]
-pub struct Lost {
+pub struct LossReport {
     requests: u64,
-    causes: BTreeMap<Cause, u64>,
+    causes: BTreeMap<LossCause, u64>,
+    /// By the second since the Unix epoch, then by the name of the cause.
     seconds: BTreeMap<u64, BTreeMap<Arc<str>, u64>>,
+    /// By a digest of the program's id: the name of the cause for which its last request was lost;
+    /// `None` if that request was not lost.
     programs: BTreeMap<u64, Option<Arc<str>>>,
+    /// Requests of programs beyond `MAX_PROGRAMS`.
     programs_uncounted: u64,
 }
 
-impl Lost {
-    /// Takes a line in.
-    pub fn take(&mut self, line: &LogLine) {
+impl LossReport {
+    /// Counts the request that this line ends; ignores all other lines.
+    pub fn record(&mut self, line: &LogLine) {
         if !matches!(&*line.message, "answered" | "refused") {
             return;
         }
         self.requests += 1;
-        let cause = cause(line);
-        self.note_program(line, cause.clone());
-        let Some(name) = cause else {
+        let cause_name = loss_cause_name(line);
+        self.record_program(line, cause_name.clone());
+        let Some(name) = cause_name else {
             return;
         };
-        let told = |field| line.text(field).unwrap_or(NOT_TOLD).into();
+        let field_or_dash = |field| line.text(field).unwrap_or(MISSING_FIELD).into();
         let second = self.seconds.entry(line.unix_ms / 1_000).or_default();
         *second.entry(name.clone()).or_default() += 1;
-        let cause = Cause { name, workspace: told("workspace"), class: told("class") };
+        let cause = LossCause {
+            name,
+            workspace: field_or_dash("workspace"),
+            class: field_or_dash("class"),
+        };
         *self.causes.entry(cause).or_default() += 1;
     }
 
-    /// A program is taken to end as its last request did.
-    fn note_program(&mut self, line: &LogLine, cause: Option<Arc<str>>) {
+    /// Remembers how the program's last request ended, which counts as the end of the program.
+    fn record_program(&mut self, line: &LogLine, cause_name: Option<Arc<str>>) {
         let Some(program) = line.text("program") else {
             return;
         };
         let key = Digest::of(&[program.as_bytes()]).prefix();
-        match self.programs.len() < PROGRAMS_MOST || self.programs.contains_key(&key) {
-            true => drop(self.programs.insert(key, cause)),
+        match self.programs.len() < MAX_PROGRAMS || self.programs.contains_key(&key) {
+            true => drop(self.programs.insert(key, cause_name)),
             false => self.programs_uncounted += 1,
         }
     }
 
-    /// Requests in all, and those lost.
+    /// The number of all requests, and of those lost.
     pub fn counts(&self) -> (u64, u64) {
         (self.requests, self.causes.values().sum())
     }
 
-    /// Lost requests by cause, the most frequent first.
-    pub fn causes(&self) -> Vec<(&Cause, u64)> {
+    /// Lost requests by cause, most frequent first.
+    pub fn causes(&self) -> Vec<(&LossCause, u64)> {
         let mut causes: Vec<_> = self.causes.iter().map(|(cause, count)| (cause, *count)).collect();
         causes.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
         causes
     }
 
-    /// Lost requests by second, counted from the first one in which any was lost, and by cause.
+    /// Lost requests by second and by the name of the cause. Seconds count from the first one with a lost request.
     pub fn by_second(&self) -> Vec<(u64, &BTreeMap<Arc<str>, u64>)> {
         let first = self.seconds.keys().next().copied().unwrap_or(0);
         self.seconds.iter().map(|(second, causes)| (second - first, causes)).collect()
     }
 
-    /// Lost requests by the name of their cause.
+    /// Lost requests by the name of their cause, over all workspaces and classes.
     pub fn by_name(&self) -> BTreeMap<&str, u64> {
         let mut names = BTreeMap::new();
         for (cause, count) in &self.causes {
@@ -90,25 +100,27 @@
         names
     }
 
-    /// Programs by the cause that their last request was lost for.
+    /// The number of programs whose last request was lost, by the name of the cause.
     pub fn programs(&self) -> BTreeMap<&str, u64> {
         let mut names = BTreeMap::new();
-        for cause in self.programs.values().flatten() {
-            *names.entry(&**cause).or_default() += 1;
+        for name in self.programs.values().flatten() {
+            *names.entry(&**name).or_default() += 1;
         }
         names
     }
 
-    /// For people.
-    pub fn text(&self, reading: &Reading) -> String {
+    /// The report as text for people.
+    pub fn text(&self, stats: &ReadStats) -> String {
         let (requests, lost) = self.counts();
-        let mut rows = vec![format!("{requests} requests, {lost} lost; programs that ended so:")];
+        let mut rows = vec![format!(
+            "{requests} requests, {lost} lost; programs whose last request was lost, by cause:"
+        )];
         rows.extend(self.programs().iter().map(|(name, count)| format!("{count:>8}  {name}")));
         rows.push("requests by cause:".into());
         rows.extend(self.by_name().iter().map(|(name, count)| format!("{count:>8}  {name}")));
         rows.push("by cause, workspace and class:".into());
         rows.extend(self.causes().iter().map(|(cause, count)| {
-            let Cause { name, workspace, class } = cause;
+            let LossCause { name, workspace, class } = cause;
             format!("{count:>8}  {name}  {workspace}  {class}")
         }));
         rows.push("by second:".into());
@@ -118,17 +130,17 @@
             format!("{second:>8}  {}", counts.join(", "))
         }));
         rows.push(format!(
-            "{} lines read, {} without an object, {} broken",
-            reading.lines, reading.without_object, reading.broken
+            "{} log lines read; skipped {} lines without a JSON object and {} broken lines",
+            stats.lines, stats.without_object, stats.broken
         ));
-        if let Some(first) = reading.first_broken {
-            rows.push(format!("the first broken line of its file is line {first}"));
+        if let Some(first) = stats.first_broken {
+            rows.push(format!("the first broken line is line {first} of its file"));
         }
         rows.join("\n")
     }
 
-    /// For scripts.
-    pub fn json(&self, reading: &Reading) -> Value {
+    /// The report as JSON for scripts.
+    pub fn json(&self, stats: &ReadStats) -> Value {
         let (requests, lost) = self.counts();
         let causes: Vec<Value> = self
             .causes()
@@ -146,14 +158,15 @@
         json!({
             "requests": requests, "lost": lost, "programs": self.programs(),
             "programs_uncounted": self.programs_uncounted, "causes": causes, "seconds": seconds,
-            "lines": reading.lines, "without_object": reading.without_object,
-            "broken": reading.broken,
+            "lines": stats.lines, "without_object": stats.without_object,
+            "broken": stats.broken,
         })
     }
 }
 
-/// Why a request was lost: refused, failed, or answered after its target.
-fn cause(line: &LogLine) -> Option<Arc<str>> {
+/// The name of the cause for which a request was lost: refused, answered with an error status, or answered after its target
+/// latency. `None` if it was not lost.
+fn loss_cause_name(line: &LogLine) -> Option<Arc<str>> {
     if let Some(refusal) = line.text("refusal") {
         return Some(refusal.into());
     }
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,17 +1,17 @@
-//! What the logs of any number of entries tell: the way of a request, the course of a program, and
-//! what was lost, for which causes.
+//! Offline analysis of entry logs, from any number of entries: the timeline of a request or a program,
+//! and a report of the requests that were refused, failed or answered late, by cause.
 
 mod line;
-mod lost;
+mod loss_report;
 mod plot;
 mod reader;
-mod way;
+mod timeline;
 
-pub use line::{Broken, LogLine};
-pub use lost::{Cause, Lost};
-pub use plot::{PlotFault, plot};
-pub use reader::{Reading, read};
-pub use way::{Subject, Way};
+pub use line::{LineError, LogLine};
+pub use loss_report::{LossCause, LossReport};
+pub use plot::{PlotError, plot};
+pub use reader::{ReadStats, read_lines};
+pub use timeline::{Subject, Timeline};
 
 #[cfg(test)]
 mod tests;
--- a/src/explain/tests.rs
+++ b/src/explain/tests.rs
@@ -16,19 +16,20 @@
 {"level":"INFO","msg":"no time"}
 "#;
 
-fn read_text(text: &[u8], pass: impl FnMut(LogLine)) -> Reading {
-    let mut reading = Reading::default();
-    read(&mut BufReader::new(text), &mut reading, pass).expect("memory does not fail");
-    reading
+fn read_text(text: &[u8], on_line: impl FnMut(LogLine)) -> ReadStats {
+    let mut stats = ReadStats::default();
+    read_lines(&mut BufReader::new(text), &mut stats, on_line)
+        .expect("reading from memory does not fail");
+    stats
 }
 
 #[test]
-fn what_was_lost_is_counted_by_cause_workspace_class_and_second() {
-    let mut lost = Lost::default();
-    let reading = read_text(LOG.as_bytes(), |line| lost.take(&line));
-    assert_eq!(lost.counts(), (4, 3));
-    let causes: Vec<_> = lost.causes().iter().map(|(cause, _)| (*cause).clone()).collect();
-    let cause = |name: &str, workspace: &str, class: &str| Cause {
+fn lost_requests_are_counted_by_cause_workspace_class_and_second() {
+    let mut report = LossReport::default();
+    let stats = read_text(LOG.as_bytes(), |line| report.record(&line));
+    assert_eq!(report.counts(), (4, 3));
+    let causes: Vec<_> = report.causes().iter().map(|(cause, _)| (*cause).clone()).collect();
+    let cause = |name: &str, workspace: &str, class: &str| LossCause {
         name: name.into(),
         workspace: workspace.into(),
         class: class.into(),
@@ -39,20 +40,20 @@
         cause("status 500", "w2", "idempotent"),
     ];
     assert_eq!(causes, expected);
-    let seconds: Vec<u64> = lost.by_second().iter().map(|(second, _)| *second).collect();
+    let seconds: Vec<u64> = report.by_second().iter().map(|(second, _)| *second).collect();
     assert_eq!(seconds, [0, 1]);
     assert_eq!(
-        lost.programs().into_iter().collect::<Vec<_>>(),
+        report.programs().into_iter().collect::<Vec<_>>(),
         [("over_rate", 1), ("status 500", 1)]
     );
-    assert_eq!((reading.lines, reading.broken, reading.first_broken), (6, 2, Some(8)));
+    assert_eq!((stats.lines, stats.broken, stats.first_broken), (6, 2, Some(8)));
 }
 
 #[test]
-fn the_way_of_a_request_shows_what_its_entry_believed_and_how_it_ended() {
-    let mut way = Way::open(Subject::Request("r2".into()));
-    read_text(LOG.as_bytes(), |line| way.take(line));
-    let text = way.text();
+fn a_request_timeline_shows_its_entrys_context_and_its_outcome() {
+    let mut timeline = Timeline::new(Subject::Request("r2".into()));
+    read_text(LOG.as_bytes(), |line| timeline.record(line));
+    let text = timeline.text();
     assert!(text.contains("the store is not reached"), "{text}");
     assert!(text.contains("claim=\"call\""), "{text}");
     assert!(text.ends_with("ended: refused, over_rate; over the rate"), "{text}");
@@ -60,25 +61,25 @@
 }
 
 #[test]
-fn the_way_of_a_program_shows_its_requests_in_order() {
-    let mut way = Way::open(Subject::Program("p2".into()));
-    read_text(LOG.as_bytes(), |line| way.take(line));
-    let lines = way.json()["lines"].as_array().map(Vec::len);
+fn a_program_timeline_shows_its_requests_in_order() {
+    let mut timeline = Timeline::new(Subject::Program("p2".into()));
+    read_text(LOG.as_bytes(), |line| timeline.record(line));
+    let lines = timeline.json()["lines"].as_array().map(Vec::len);
     assert_eq!(lines, Some(2));
-    assert!(way.text().ends_with("ended: answered with status 500"), "{}", way.text());
+    assert!(timeline.text().ends_with("ended: answered with status 500"), "{}", timeline.text());
 }
 
 #[test]
-fn an_unknown_id_has_no_way() {
-    let mut way = Way::open(Subject::Request("nobody".into()));
-    read_text(LOG.as_bytes(), |line| way.take(line));
-    assert!(way.is_empty());
+fn an_unknown_id_has_an_empty_timeline() {
+    let mut timeline = Timeline::new(Subject::Request("nobody".into()));
+    read_text(LOG.as_bytes(), |line| timeline.record(line));
+    assert!(timeline.is_empty());
 }
 
-// A collector joined a torn file to another: a line without an end is megabytes long. Read whole, it
-// would fill the memory; and the lines behind it count.
+// A log collector that joins a truncated file to another produces a line of megabytes. It must not be
+// buffered whole, and the lines after it still count.
 #[test]
-fn an_endless_line_is_passed_over() {
+fn a_line_that_is_too_long_is_skipped() {
     let mut text = vec![b'{'; 1 << 20];
     text.extend_from_slice(LOG.as_bytes());
     let mut lines = 0;
@@ -88,33 +89,33 @@
 
 #[test]
 fn a_plot_shows_each_cause() {
-    let mut lost = Lost::default();
-    read_text(LOG.as_bytes(), |line| lost.take(&line));
+    let mut report = LossReport::default();
+    read_text(LOG.as_bytes(), |line| report.record(&line));
     let path = std::env::temp_dir().join(format!("trefoil-plot-{}.svg", std::process::id()));
-    plot(&lost, &path).expect("it is written");
-    let svg = std::fs::read_to_string(&path).expect("it is there");
-    std::fs::remove_file(&path).expect("it is removed");
+    plot(&report, &path).expect("the plot is written");
+    let svg = std::fs::read_to_string(&path).expect("the plot is readable");
+    std::fs::remove_file(&path).expect("the plot is removed");
     for name in ["late", "over_rate", "status 500"] {
         assert!(svg.contains(name), "{name}");
     }
 }
 
 proptest! {
-    // Logs are read from wherever a collector left them: whatever the bytes, nothing panics, and every
-    // line is counted once.
+    // Logs come from collectors in any condition: no input may cause a panic, and every line is counted
+    // exactly once.
     #[test]
     fn any_bytes_are_read(bytes in proptest::collection::vec(any::<u8>(), 0..2_000), cut in 0..900_usize) {
         let mut text = LOG.as_bytes()[..cut.min(LOG.len())].to_vec();
         text.extend(bytes);
-        let mut lost = Lost::default();
-        let mut way = Way::open(Subject::Program("p1".into()));
-        let reading = read_text(&text, |line| {
-            lost.take(&line);
-            way.take(line);
+        let mut report = LossReport::default();
+        let mut timeline = Timeline::new(Subject::Program("p1".into()));
+        let stats = read_text(&text, |line| {
+            report.record(&line);
+            timeline.record(line);
         });
         let ends = text.iter().filter(|byte| **byte == b'\n').count() as u64;
         let open = u64::from(text.last().is_some_and(|byte| *byte != b'\n'));
-        prop_assert_eq!(reading.lines + reading.without_object + reading.broken, ends + open);
-        drop((lost.text(&reading), lost.json(&reading), way.text(), way.json()));
+        prop_assert_eq!(stats.lines + stats.without_object + stats.broken, ends + open);
+        drop((report.text(&stats), report.json(&stats), timeline.text(), timeline.json()));
     }
 }
--- a/src/http/body.rs
+++ b/src/http/body.rs
@@ -14,7 +14,7 @@
 /// The body of a response, or of a request sent by [`Client`](super::Client).
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// Why the body of a request could not be read.
+/// Why [`read_body`] failed.
 #[value]
 #[derive(Copy)]
 pub enum BodyError {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -59,7 +59,8 @@
         Client { inner }
     }
 
-    /// Sends a request and returns the response as soon as its head has arrived.
+    /// Sends a request and returns the response as soon as its head has arrived. Only connecting
+    /// has a time limit.
     pub async fn start(
         &self,
         method: Method,
--- a/src/http/connections.rs
+++ b/src/http/connections.rs
@@ -12,8 +12,8 @@
 use super::RequestBody;
 use crate::prelude::*;
 
-/// Time limit for opening a connection: a hundred times the network latency within a region. A VM
-/// without power does not refuse connections, it does not respond at all.
+/// Time limit for opening a connection: a hundred times the network latency within a region. The
+/// limit is needed because a VM without power does not refuse connections but does not respond.
 const CONNECT_TIMEOUT_MS: u64 = 400;
 
 /// A connection is closed when sent bytes stay unacknowledged for this long. Without the limit, a
--- a/src/http/line_reader.rs
+++ b/src/http/line_reader.rs
@@ -10,14 +10,15 @@
 }
 
 impl LineReader {
-    /// Creates a reader of lines of at most `max_bytes`. The limit bounds the memory used for a
-    /// sender that never ends its line.
+    /// Creates a reader that stops when more than `max_bytes` have arrived without a line break.
+    /// The limit bounds the memory used for a sender that never ends its line.
     pub fn open(body: Incoming, max_bytes: usize) -> LineReader {
         LineReader { body, buffer: BytesMut::new(), max_bytes }
     }
 
     /// Reads the next line, including its line break. Returns `None` if the body has ended, the
-    /// connection failed or the line is too long. Cancel safe: received bytes stay in the buffer.
+    /// connection failed or the line is too long; bytes after the last line break are not returned.
+    /// Cancel safe: received bytes stay in the buffer.
     pub async fn next(&mut self) -> Option<BytesMut> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
--- a/src/ids/numbers.rs
+++ b/src/ids/numbers.rs
@@ -22,7 +22,8 @@
 }
 
 number! {
-    /// A shard: a subset of the programs, owned by one entry at a time and recorded in one stream.
+    /// The number of a shard. A shard is a subset of the programs, owned by one entry at a time and
+    /// recorded in one stream of the log.
     ShardId, u16
 }
 number! {
@@ -30,12 +31,13 @@
     Offset, u64
 }
 number! {
-    /// The epoch of a shard's ownership: the offset of the claim record. A larger epoch fences
-    /// smaller ones.
+    /// The epoch of a shard's ownership: the offset of the record with which the owner claimed the
+    /// shard. A larger epoch fences smaller ones: requests of the earlier owners are rejected.
     Epoch, u64
 }
 number! {
-    /// Identifies a process instance; drawn at random when the process starts.
+    /// Identifies a process instance, that is, one process from its start to its end. Drawn at
+    /// random when the process starts, so a restart gives a new one.
     Instance, u64
 }
 number! {
@@ -64,13 +66,13 @@
     }
 }
 
-/// Identifies an attempt to run a turn. Never reused: owners differ in the epoch, and the attempts
-/// of one owner differ in the sequence number.
+/// Identifies an attempt to run a turn. Never reused: the owners of a shard differ in the epoch,
+/// and the attempts of one owner differ in the sequence number.
 #[wire_key]
 pub struct AttemptId {
     /// The program's shard.
     pub shard: ShardId,
-    /// The epoch of the owner that dispatched it.
+    /// The epoch of the owner that dispatched the attempt.
     pub epoch: Epoch,
     /// The number of the attempt within its epoch.
     pub sequence: u64,
@@ -82,7 +84,7 @@
     }
 }
 
-/// A process instance of the daemon beside an endpoint.
+/// A process instance of the daemon that runs on an endpoint's VM.
 #[name]
 pub struct EndpointRef {
     /// The endpoint's VM.
@@ -96,7 +98,8 @@
 pub struct Crash {
     /// The engine's VM.
     pub vm: VmName,
-    /// The run of the engine that crashed.
+    /// The number of the engine's process instance that crashed, as its health report gives it in
+    /// `run`.
     pub run: u64,
     /// Whether the call was the only one running, so that no other call can be the cause.
     pub alone: bool,
--- a/src/link/dealer.rs
+++ b/src/link/dealer.rs
@@ -21,7 +21,7 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Why a request got no reply. The peer may have received the request.
+/// Why a request got no reply. Except after [`LinkError::Busy`], the peer may have received it.
 #[value]
 #[derive(Copy)]
 pub enum LinkError {
@@ -102,6 +102,7 @@
     receiver: DealerRecvHalf,
     next_id: u64,
     in_flight: HashMap<u64, oneshot::Sender<ControlReply>>,
+    /// When the last reply arrived, or when a request was sent while none was in flight.
     last_progress: Instant,
     received_reply: bool,
 }
@@ -122,8 +123,8 @@
         })
     }
 
-    /// Serves requests until the socket fails (returns `false`) or all handles of the link are
-    /// dropped (returns `true`).
+    /// Serves requests until the socket fails or stalls (returns `false`), or until all handles of
+    /// the link are dropped (returns `true`).
     async fn serve(
         &mut self,
         first: QueuedRequest,
--- a/src/link/message.rs
+++ b/src/link/message.rs
@@ -5,7 +5,8 @@
 /// A request from one process to another.
 #[wire]
 pub enum ControlRequest {
-    /// Asks for the state of an attempt. The receiver then fences owners with an earlier epoch.
+    /// Asks for the state of an attempt. From then on the receiver rejects attempts from owners of
+    /// the shard with an earlier epoch.
     #[serde(rename = "ask")]
     Query {
         /// The attempt.
@@ -42,12 +43,12 @@
     Declined,
 }
 
-/// Decodes a message. Returns `None` for invalid input.
+/// Decodes a message from the postcard format. Returns `None` for invalid input.
 pub(super) fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Encodes a message.
+/// Encodes a message in the postcard format.
 pub(super) fn encode<T: serde::Serialize>(message: &T) -> Vec<u8> {
     postcard::to_allocvec(message).unwrap_or_default()
 }
--- a/src/link/router.rs
+++ b/src/link/router.rs
@@ -51,6 +51,7 @@
     let (sender, mut receiver) = socket.split();
     loop {
         let Ok(message) = receiver.recv().await else {
+            // The pause avoids a busy loop if the error persists.
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
--- a/src/logstore/client.rs
+++ b/src/logstore/client.rs
@@ -89,7 +89,8 @@
 }
 
 impl LogClient {
-    /// Creates a client whose calls take at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`; a read that waits for records takes
+    /// longer by its `wait`.
     pub fn open(http: Client, address: SocketAddr, timeout: Duration) -> LogClient {
         LogClient { http, address, timeout }
     }
--- a/src/logstore/pacer.rs
+++ b/src/logstore/pacer.rs
@@ -3,14 +3,15 @@
 /// Size of the burst that may be sent after an idle period, in milliseconds of this entry's rate.
 const BURST_MS: u64 = 500;
 
-/// Limits the rate of appends to an equal share of the log's append rate for each entry. Without
-/// the limit, a fleet under high load exceeds the rate of the log, whose refusals then look like an
-/// outage.
+/// Limits this entry's appends to its share of the log's append rate, which is divided equally
+/// among all entries. Without the limit, the entries under high load would together exceed the
+/// append rate, and the log's refusals would look like an outage.
 ///
 /// Each append reserves its own send time, in the order of the calls, so that no shard starves.
 /// While an append waits, its batch grows: throughput is kept, and latency rises instead.
 #[value]
 pub struct Pacer {
+    /// The append rate that all entries share, per second.
     fleet_per_s: u64,
     entries: u64,
     /// The earliest time at which the next append may be sent, in microseconds.
--- a/src/settings/endpoint.rs
+++ b/src/settings/endpoint.rs
@@ -55,6 +55,7 @@
         let queue = reader.number("queue", 1, 100_000);
         let cache_lease_ms = reader.number("cache-lease-ms", 100, 86_400_000);
         reader.finish()?;
+        // `None` only if a name is missing or invalid, which `finish` has reported.
         let (process, serves) = process.zip(serves).ok_or(SettingsError::Invalid(Vec::new()))?;
         Ok(EndpointSettings {
             process,
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -118,6 +118,7 @@
         let program_idle_ms = reader.number("program-idle-ms", 1_000, 365 * DAY_MS);
         reader.finish()?;
         Ok(EntrySettings {
+            // `None` only if a name is missing or invalid, which `finish` has reported.
             process: process.ok_or(SettingsError::Invalid(Vec::new()))?,
             listen,
             log,
--- a/src/settings/process.rs
+++ b/src/settings/process.rs
@@ -24,7 +24,8 @@
     pub log_level: &'static str,
 }
 
-/// The first one stands in for an invalid value until all invalid settings are reported.
+/// The allowed log levels. The first is the placeholder that `Reader::one_of` returns for an invalid
+/// value.
 pub(super) const LOG_LEVELS: &[&str] = &["info", "error", "warn", "debug", "trace"];
 
 /// The list of a role's settings: the common ones, then those given.
@@ -57,6 +58,7 @@
 impl ProcessSettings {
     pub(super) fn read(reader: &mut Reader) -> Option<ProcessSettings> {
         let vm = reader.name("vm", VmName::parse);
+        // Names of failure domains follow the same rules as names of VMs.
         let failure_domain = reader.name("failure-domain", VmName::parse);
         let peer_listen = reader.address("peer-listen");
         let admin_listen = reader.address("admin-listen");
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Reads one of several allowed words.
+    /// Reads one of the `allowed` words. The placeholder for an invalid value is the first of them.
     pub fn one_of(&mut self, name: &'static str, allowed: &'static [&'static str]) -> &'static str {
         let Some(text) = self.raw_value(name) else {
             return allowed[0];
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -48,7 +48,8 @@
     Buffered,
 }
 
-/// Starts writing log records of `level` or above to standard output, as one JSON object per line.
+/// Starts writing log records of `level` and of more severe levels to standard output, as one JSON
+/// object per line. An unknown `level` means `info`.
 ///
 /// # Errors
 /// Fails if a logger is already installed.
--- a/src/time.rs
+++ b/src/time.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// Wall-clock time, in milliseconds since the Unix epoch. Compared only with the retention time of
-/// the log.
+/// Wall-clock time, in milliseconds since the Unix epoch. For times that are compared across
+/// processes: retention periods, and the start times of process instances.
 #[wire_key]
 #[derive(Default)]
 pub struct UnixMs(pub u64);
