--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! Experiments on the decisions of trefoilproxy. Each prints a table; seeds are fixed.
+//! Experiments on trefoilproxy's routing, scheduling, load shedding and rate limits. Each prints a table;
+//! seeds are fixed.
 
 mod engines;
 mod policies;
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -1,6 +1,6 @@
-//! Programs on engines, by the real routing and order of service: seeded traces with bursts,
-//! pauses, sub-agents, one workspace at several times its share, an engine that dies, a slow one,
-//! one that leaves, and reports that lag.
+//! Simulates programs on engines with trefoilproxy's own router and queue order. The seeded traces
+//! have bursts, pauses, sub-agents, optionally a flooding workspace, an engine that dies, a slow engine,
+//! a draining engine, and load reports that lag.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,25 +10,25 @@
 use trefoilproxy::programs::PlaceRequest;
 use trefoilproxy::routing::{EndpointView, Router, RoutingPolicy, SheddingPolicy};
 
-use crate::engines::{End, Engine, Job, REPORT_MS};
+use crate::engines::{Engine, Job, Outcome, REPORT_INTERVAL_MS};
 use crate::random::Random;
 
 const STEP_MS: u64 = 5;
 const RUN_MS: u64 = 240_000;
-/// Programs that start so early or late are run, but not counted.
+/// Programs that start before `WARM_UP_MS` or from `COUNTED_UNTIL_MS` on are run, but not counted.
 pub const WARM_UP_MS: u64 = 20_000;
 pub const COUNTED_UNTIL_MS: u64 = 180_000;
 const ENTRIES: usize = 3;
 const TURN_DEADLINE_MS: u64 = 20_000;
 const WORKSPACES: u64 = 8;
-/// What the contracts give each, by what it usually sends.
+/// Contract weights of the workspaces, in proportion to their usual load.
 const WEIGHTS: [u32; WORKSPACES as usize] = [37, 27, 7, 7, 7, 7, 7, 7];
-/// The workspace that sends several times its share.
-const FLOODING: u64 = 7;
-const RETRY_MS: u64 = 1_000;
+/// Index of the workspace that starts the programs of [`Deployment::flood`] and no others.
+const FLOODING_WORKSPACE: u64 = 7;
+const RETRY_AFTER_MS: u64 = 1_000;
 const MAX_REFUSALS: u32 = 5;
 
-/// A deployment: its engines, and how its programs look.
+/// The engines of a deployment and the load of its programs.
 #[derive(Clone, Copy)]
 pub struct Deployment {
     pub name: &'static str,
@@ -36,7 +36,7 @@
     pub programs_per_s: f64,
     pub max_turns: u64,
     pub pause_ms: u64,
-    /// Programs that one workspace adds to each of the others' in the middle third.
+    /// Programs that the flooding workspace starts for each program of the others from 80 s to 160 s.
     pub flood: u64,
 }
 
@@ -63,39 +63,45 @@
     entry: usize,
     turns_left: u64,
     turn: u64,
+    /// Tokens of the conversation so far.
     history: u64,
+    /// Completion tokens so far.
     attained: u64,
     started: u64,
+    /// Total of the pauses between turns, which do not count as latency.
     paused: u64,
     refusals: u32,
-    /// The program that waits for this sub-agent.
+    /// Index of the program that waits for this sub-agent.
     parent: Option<usize>,
     finished: Option<u64>,
     failed: bool,
 }
 
 #[derive(Clone, Copy)]
-enum Due {
+enum Event {
     Start(usize),
     Turn(usize),
 }
 
-/// What a run is judged by.
+/// Results of a run.
 #[derive(Default, Clone)]
 pub struct Score {
     pub latency_ms: Vec<u64>,
-    pub worst_workspace: f64,
-    pub wasted: f64,
+    /// Mean latency per turn of the slowest workspace that does not flood, relative to all workspaces.
+    pub worst_relative_latency: f64,
+    /// Share of history tokens that were recomputed because they were not cached.
+    pub recomputed_share: f64,
     pub finished: usize,
     pub failed: usize,
-    /// Failed programs of the worst served workspace that does not flood, in percent.
-    pub worst_failed: f64,
+    /// Percentage of failed programs in the worst served workspace that does not flood.
+    pub worst_failed_percent: f64,
 }
 
 pub struct Run {
     random: Random,
     programs: Vec<Program>,
-    agenda: BinaryHeap<Reverse<(u64, u64, usize, bool)>>,
+    /// Time, sequence number, program, and whether the program starts; the earliest first.
+    events: BinaryHeap<Reverse<(u64, u64, usize, bool)>>,
     sequence: u64,
     engines: Vec<Engine>,
     routers: Vec<Router>,
@@ -121,28 +127,29 @@
         let mut run = Run {
             random: Random::new(seed),
             programs: Vec::new(),
-            agenda: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             sequence: 0,
             engines: engines.collect(),
             routers: routers.collect(),
             deployment,
         };
-        run.arrivals(load);
+        run.generate_arrivals(load);
         run
     }
 
-    /// Programs arrive in bursts. Two workspaces are large; one sends four times its share in
-    /// the middle third.
-    fn arrivals(&mut self, load: f64) {
-        let mut at = 0.0;
-        while at < RUN_MS as f64 {
+    /// Generates the programs, which arrive in bursts. Two workspaces are large; the flooding one
+    /// starts `flood` programs for each program of the others from 80 s to 160 s.
+    fn generate_arrivals(&mut self, load: f64) {
+        let mut arrival_ms = 0.0;
+        while arrival_ms < RUN_MS as f64 {
             let burst = 1 + self.random.below(5);
             for _ in 0..burst {
-                let floods = (80_000.0..160_000.0).contains(&at);
-                for _ in 0..if floods { self.deployment.flood } else { 0 } {
+                let is_flooding = (80_000.0..160_000.0).contains(&arrival_ms);
+                for _ in 0..if is_flooding { self.deployment.flood } else { 0 } {
                     let turns = 2 + self.random.below(self.deployment.max_turns - 1);
-                    let program = self.add(FLOODING, turns, at as u64, None);
-                    self.due(at as u64, Due::Start(program));
+                    let program =
+                        self.add_program(FLOODING_WORKSPACE, turns, arrival_ms as u64, None);
+                    self.schedule(arrival_ms as u64, Event::Start(program));
                 }
                 let workspace = match self.random.below(10) {
                     0..=2 => 0,
@@ -150,26 +157,33 @@
                     _ => self.random.below(WORKSPACES - 1),
                 };
                 let turns = 2 + self.random.below(self.deployment.max_turns - 1);
-                let program = self.add(workspace, turns, at as u64, None);
-                self.due(at as u64, Due::Start(program));
+                let program = self.add_program(workspace, turns, arrival_ms as u64, None);
+                self.schedule(arrival_ms as u64, Event::Start(program));
             }
             let gap_ms = 1_000.0 * burst as f64 / (self.deployment.programs_per_s * load);
-            at += gap_ms * (0.5 + self.random.unit());
+            arrival_ms += gap_ms * (0.5 + self.random.unit());
         }
     }
 
-    fn add(&mut self, owner: u64, turns: u64, at: u64, parent: Option<usize>) -> usize {
+    fn add_program(
+        &mut self,
+        workspace_index: u64,
+        turns: u64,
+        arrival_ms: u64,
+        parent: Option<usize>,
+    ) -> usize {
         let index = self.programs.len();
-        let id = ProgramId::parse(workspace(owner), &format!("p{index}")).expect("a valid name");
+        let id = ProgramId::parse(workspace(workspace_index), &format!("p{index}"))
+            .expect("a valid name");
         self.programs.push(Program {
             id,
-            workspace: owner,
+            workspace: workspace_index,
             entry: index % ENTRIES,
             turns_left: turns,
             turn: 0,
             history: 0,
             attained: 0,
-            started: at,
+            started: arrival_ms,
             paused: 0,
             refusals: 0,
             parent,
@@ -179,31 +193,31 @@
         index
     }
 
-    fn due(&mut self, at: u64, due: Due) {
+    fn schedule(&mut self, due_ms: u64, event: Event) {
         self.sequence += 1;
-        let (program, is_start) = match due {
-            Due::Start(program) => (program, true),
-            Due::Turn(program) => (program, false),
+        let (program, is_start) = match event {
+            Event::Start(program) => (program, true),
+            Event::Turn(program) => (program, false),
         };
-        self.agenda.push(Reverse((at, self.sequence, program, is_start)));
+        self.events.push(Reverse((due_ms, self.sequence, program, is_start)));
     }
 
     pub fn run(mut self) -> Score {
         let mut now = 0;
         while now < RUN_MS {
-            self.faults(now);
-            while let Some(Reverse((at, _, program, _))) = self.agenda.peek().copied() {
-                if at > now {
+            self.inject_faults(now);
+            while let Some(Reverse((due_ms, _, program, _))) = self.events.peek().copied() {
+                if due_ms > now {
                     break;
                 }
-                self.agenda.pop();
-                self.call(now, program);
+                self.events.pop();
+                self.start_turn(now, program);
             }
             for index in 0..self.engines.len() {
-                let ends = self.engines[index].advance(now, STEP_MS);
-                ends.into_iter().for_each(|end| self.ended(now, end));
+                let outcomes = self.engines[index].advance(now, STEP_MS);
+                outcomes.into_iter().for_each(|outcome| self.record_outcome(now, outcome));
                 let engine = &mut self.engines[index];
-                if now.saturating_sub(engine.reported.0) >= REPORT_MS {
+                if now.saturating_sub(engine.reported.0) >= REPORT_INTERVAL_MS {
                     engine.reported = (now, engine.load());
                 }
             }
@@ -212,30 +226,30 @@
         self.score()
     }
 
-    /// One engine is slow for a while, one dies and comes back, one leaves.
-    fn faults(&mut self, now: u64) {
+    /// Engine 1 is slow for 30 s, engine 2 dies and is back after 15 s, engine 3 drains for 20 s.
+    fn inject_faults(&mut self, now: u64) {
         match now {
-            60_000 => self.engines[1].slowness = 3.0,
-            90_000 => self.engines[1].slowness = 1.0,
+            60_000 => self.engines[1].slowdown = 3.0,
+            90_000 => self.engines[1].slowdown = 1.0,
             100_000 => {
-                let ends = self.engines[2].die();
-                ends.into_iter().for_each(|end| self.ended(now, end));
+                let outcomes = self.engines[2].kill();
+                outcomes.into_iter().for_each(|outcome| self.record_outcome(now, outcome));
             }
             115_000 => self.engines[2].alive = true,
-            130_000 => self.engines[3].leaving = true,
-            150_000 => self.engines[3].leaving = false,
+            130_000 => self.engines[3].draining = true,
+            150_000 => self.engines[3].draining = false,
             _ => {}
         }
     }
 
-    fn call(&mut self, now: u64, index: usize) {
-        let fresh = 60 + self.random.below(400);
+    fn start_turn(&mut self, now: u64, index: usize) {
+        let new_tokens = 60 + self.random.below(400);
         let answer = 20 + self.random.below(120);
         let program = &self.programs[index];
         let job = Job {
             id: index as u64,
             program: program.id.clone(),
-            prompt: program.history + fresh,
+            prompt: program.history + new_tokens,
             history: program.history,
             answer,
             attained: program.attained,
@@ -246,8 +260,8 @@
 
     fn place(&mut self, now: u64, index: usize, job: Job) {
         let program = &self.programs[index];
-        let live = self.engines.iter().filter(|engine| engine.alive && !engine.leaving);
-        let views: Vec<EndpointView> = live
+        let available = self.engines.iter().filter(|engine| engine.alive && !engine.draining);
+        let views: Vec<EndpointView> = available
             .map(|engine| EndpointView {
                 endpoint: engine.endpoint.clone(),
                 reported_load: engine.reported.1,
@@ -274,39 +288,41 @@
             .and_then(|chosen| self.engines.iter_mut().find(|engine| engine.endpoint == chosen));
         match engine.map(|engine| engine.submit(now, job)) {
             Some(Ok(())) => {}
-            _ => self.refused(now, index),
+            _ => self.record_refusal(now, index),
         }
     }
 
-    /// A refused caller comes back after the time that it was told, a few times.
-    fn refused(&mut self, now: u64, index: usize) {
+    /// A refused caller retries after the retry time with jitter; the program fails after too many
+    /// refusals.
+    fn record_refusal(&mut self, now: u64, index: usize) {
         let program = &mut self.programs[index];
         program.refusals += 1;
         match program.refusals > MAX_REFUSALS {
-            true => self.fail(index),
+            true => self.fail_program(index),
             false => {
-                let jitter = self.random.below(RETRY_MS);
-                self.due(now + RETRY_MS + jitter, Due::Turn(index));
+                let jitter = self.random.below(RETRY_AFTER_MS);
+                self.schedule(now + RETRY_AFTER_MS + jitter, Event::Turn(index));
             }
         }
     }
 
-    fn fail(&mut self, index: usize) {
+    /// Fails a program and the programs that wait for it.
+    fn fail_program(&mut self, index: usize) {
         self.programs[index].failed = true;
         if let Some(parent) = self.programs[index].parent {
-            self.fail(parent);
+            self.fail_program(parent);
         }
     }
 
-    fn ended(&mut self, now: u64, end: End) {
-        match end {
-            End::Done(job) => self.turn_done(now, &job),
-            End::Failed(job) => self.due(now + 100, Due::Turn(job.id as usize)),
-            End::Expired(job) => self.fail(job.id as usize),
+    fn record_outcome(&mut self, now: u64, outcome: Outcome) {
+        match outcome {
+            Outcome::Completed(job) => self.complete_turn(now, &job),
+            Outcome::Failed(job) => self.schedule(now + 100, Event::Turn(job.id as usize)),
+            Outcome::Expired(job) => self.fail_program(job.id as usize),
         }
     }
 
-    fn turn_done(&mut self, now: u64, job: &Job) {
+    fn complete_turn(&mut self, now: u64, job: &Job) {
         let index = job.id as usize;
         let program = &mut self.programs[index];
         program.turn += 1;
@@ -316,34 +332,36 @@
         if program.turns_left == 0 {
             program.finished = Some(now);
             let (id, parent, entry) = (program.id.clone(), program.parent, program.entry);
-            self.engines.iter_mut().for_each(|engine| engine.free(&id));
+            self.engines.iter_mut().for_each(|engine| engine.free_cache(&id));
             self.routers[entry].remove_program(&id);
             if let Some(parent) = parent {
-                self.due(now, Due::Turn(parent));
+                self.schedule(now, Event::Turn(parent));
             }
             return;
         }
-        let (owner, is_root) = (program.workspace, program.parent.is_none());
+        let (workspace_index, is_root) = (program.workspace, program.parent.is_none());
         if is_root && self.random.below(6) == 0 {
             let turns = 1 + self.random.below(3);
-            let child = self.add(owner, turns, now, Some(index));
-            self.due(now, Due::Start(child));
+            let child = self.add_program(workspace_index, turns, now, Some(index));
+            self.schedule(now, Event::Start(child));
             return;
         }
         let pause_ms = 50 + self.random.below(2 * self.deployment.pause_ms);
         self.programs[index].paused += pause_ms;
-        self.due(now + pause_ms, Due::Turn(index));
+        self.schedule(now + pause_ms, Event::Turn(index));
     }
 
     fn score(self) -> Score {
-        let counted = |program: &&Program| {
+        let is_counted = |program: &&Program| {
             program.parent.is_none() && (WARM_UP_MS..COUNTED_UNTIL_MS).contains(&program.started)
         };
         let mut score = Score::default();
-        let mut outcomes = vec![(0.0_f64, 0.0_f64); WORKSPACES as usize];
+        // Finished and failed programs of each workspace.
+        let mut program_counts = vec![(0.0_f64, 0.0_f64); WORKSPACES as usize];
+        // Latency and turns of the finished programs of each workspace.
         let mut per_workspace = vec![(0.0, 0.0); WORKSPACES as usize];
-        for program in self.programs.iter().filter(counted) {
-            let counts = &mut outcomes[program.workspace as usize];
+        for program in self.programs.iter().filter(is_counted) {
+            let counts = &mut program_counts[program.workspace as usize];
             let Some(finished) = program.finished.filter(|_| !program.failed) else {
                 score.failed += 1;
                 counts.1 += 1.0;
@@ -354,22 +372,25 @@
             let latency = (finished - program.started).saturating_sub(program.paused);
             score.latency_ms.push(latency);
             let sum = &mut per_workspace[program.workspace as usize];
-            // A turn's latency, so that workspaces with longer programs compare.
+            // Latency per turn, so that workspaces with longer programs can be compared.
             sum.0 += latency as f64;
             sum.1 += program.turn as f64;
         }
         score.latency_ms.sort_unstable();
-        let all: (f64, f64) =
+        let total: (f64, f64) =
             per_workspace.iter().fold((0.0, 0.0), |sum, w| (sum.0 + w.0, sum.1 + w.1));
-        let mean = all.0 / all.1.max(1.0);
-        // The one that floods is left out: it is the others that must not suffer.
+        let mean = total.0 / total.1.max(1.0);
+        // The flooding workspace is left out: the others must not suffer from it.
         let others = per_workspace.iter().take(7).filter(|sum| sum.1 > 0.0);
-        score.worst_workspace = others.map(|sum| sum.0 / sum.1 / mean).fold(0.0, f64::max);
-        let failed = outcomes.iter().take(7).map(|(well, ill)| 100.0 * ill / (well + ill).max(1.0));
-        score.worst_failed = failed.fold(0.0, f64::max);
+        score.worst_relative_latency = others.map(|sum| sum.0 / sum.1 / mean).fold(0.0, f64::max);
+        let failed = program_counts
+            .iter()
+            .take(7)
+            .map(|(finished, failed)| 100.0 * failed / (finished + failed).max(1.0));
+        score.worst_failed_percent = failed.fold(0.0, f64::max);
         let recomputed: u64 = self.engines.iter().map(|engine| engine.recomputed).sum();
         let history: u64 = self.engines.iter().map(|engine| engine.history).sum();
-        score.wasted = recomputed as f64 / history.max(1) as f64;
+        score.recomputed_share = recomputed as f64 / history.max(1) as f64;
         score
     }
 }
--- a/lab/src/programs.rs
+++ b/lab/src/programs.rs
@@ -1,5 +1,5 @@
-//! Whole programs against a workspace's rate: who is refused, who comes late, and what is lost, with
-//! requests admitted one by one and with programs that begin whole.
+//! Simulates programs against a workspace's rate limit and counts which finish in time, late or not at
+//! all: with requests admitted individually, and with capacity booked for a program when it starts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,71 +13,80 @@
 use crate::random::Random;
 
 const WINDOW_MS: u64 = 5_000;
-const BEGIN_FOR_MS: u64 = 40_000;
-/// Programs drawn to find what one makes on the mean.
-const MEAN_OVER: u64 = 4_000;
+const ARRIVALS_UNTIL_MS: u64 = 40_000;
+/// Programs generated to estimate the mean number of requests per program.
+const MEAN_SAMPLE_PROGRAMS: u64 = 4_000;
 const SEEDS: std::ops::Range<u64> = 0..40;
-const BEGIN_WAIT_MS: u64 = 50;
-/// A caller's way to an entry and back.
-const WAY_MS: u64 = 2;
-const TURN_TRIES: usize = 3;
-const ALONE: PeerCounts = PeerCounts { entries: 1, heard: 1 };
+const MAX_START_WAIT_MS: u64 = 50;
+/// Round trip from a caller to an entry.
+const ROUND_TRIP_MS: u64 = 2;
+const MAX_TURN_TRIES: usize = 3;
+const SINGLE_ENTRY: PeerCounts = PeerCounts { entries: 1, heard: 1 };
 
-/// How long a request waits for the rate at most.
+/// Maximum time that a request waits for the rate limit: the lesser of both.
 #[derive(Debug, Clone, Copy)]
 struct Wait {
-    /// As a part of its time.
-    part: f64,
-    most_ms: u64,
+    /// Fraction of the time left until the request's deadline.
+    fraction: f64,
+    max_ms: u64,
 }
 
-const SHORT: Wait = Wait { part: 0.25, most_ms: 600 };
-const LONG: Wait = Wait { part: 0.4, most_ms: 1_500 };
+const SHORT: Wait = Wait { fraction: 0.25, max_ms: 600 };
+const LONG: Wait = Wait { fraction: 0.4, max_ms: 1_500 };
 
 /// How requests are admitted.
 #[derive(Debug, Clone, Copy)]
 struct Policy {
     name: &'static str,
-    /// Whether programs begin whole.
-    whole: bool,
+    /// Whether capacity is booked for the whole program with its first request.
+    books_program: bool,
     wait: Wait,
 }
 
 const POLICIES: [Policy; 4] = [
-    Policy { name: "one by one, short waits", whole: false, wait: SHORT },
-    Policy { name: "one by one, long waits", whole: false, wait: LONG },
-    Policy { name: "programs begin whole, short waits", whole: true, wait: SHORT },
-    Policy { name: "programs begin whole, long waits", whole: true, wait: LONG },
+    Policy { name: "one by one, short waits", books_program: false, wait: SHORT },
+    Policy { name: "one by one, long waits", books_program: false, wait: LONG },
+    Policy { name: "programs begin whole, short waits", books_program: true, wait: SHORT },
+    Policy { name: "programs begin whole, long waits", books_program: true, wait: LONG },
 ];
 
-/// A kind of program.
+/// Parameters of a class of programs.
 #[derive(Debug, Clone, Copy)]
-struct Kind {
+struct ProgramClass {
     turns: u64,
     think_ms: u64,
-    fan: f64,
+    /// Probability that a turn is followed by parallel sub-agents.
+    fan_out_probability: f64,
 }
 
-const KINDS: [Kind; 2] =
-    [Kind { turns: 4, think_ms: 150, fan: 0.05 }, Kind { turns: 11, think_ms: 60, fan: 0.15 }];
+const PROGRAM_CLASSES: [ProgramClass; 2] = [
+    ProgramClass { turns: 4, think_ms: 150, fan_out_probability: 0.05 },
+    ProgramClass { turns: 11, think_ms: 60, fan_out_probability: 0.15 },
+];
 
-/// A request, and what its caller does for it.
+/// A request with its caller's time limit and number of attempts.
 #[derive(Debug, Clone, Copy)]
 struct Call {
     run_ms: u64,
-    time_ms: u64,
+    time_limit_ms: u64,
     attempts: u32,
 }
 
-/// One turn of a program with what follows it: its calls, then helpers side by side.
+/// One turn of a program, followed by its calls and sub-agents, all in parallel, and a pause.
 struct Step {
     run_ms: u64,
     calls: Vec<Call>,
     think_ms: u64,
-    helpers: Vec<Vec<Step>>,
+    sub_agents: Vec<Vec<Step>>,
 }
 
-fn steps(random: &mut Random, turns: u64, kind: Kind, may_fan: bool) -> Vec<Step> {
+/// Generates the steps of a program, or of a sub-agent, which has no sub-agents itself.
+fn generate_steps(
+    random: &mut Random,
+    turns: u64,
+    class: ProgramClass,
+    may_fan_out: bool,
+) -> Vec<Step> {
     (0..turns)
         .map(|_| {
             let mut calls = Vec::new();
@@ -85,57 +94,72 @@
                 let lookups = 1 + random.below(5);
                 calls.extend((0..lookups).map(|_| {
                     let run_ms = 20 + random.below(80);
-                    Call { run_ms, time_ms: 1_500, attempts: 2 }
+                    Call { run_ms, time_limit_ms: 1_500, attempts: 2 }
                 }));
             }
             if random.unit() < 0.4 {
-                calls.push(Call { run_ms: 80 + random.below(250), time_ms: 6_000, attempts: 2 });
+                calls.push(Call {
+                    run_ms: 80 + random.below(250),
+                    time_limit_ms: 6_000,
+                    attempts: 2,
+                });
             }
             if random.unit() < 0.2 {
-                calls.push(Call { run_ms: 60 + random.below(160), time_ms: 3_000, attempts: 3 });
+                calls.push(Call {
+                    run_ms: 60 + random.below(160),
+                    time_limit_ms: 3_000,
+                    attempts: 3,
+                });
             }
-            let fans = may_fan && random.unit() < kind.fan;
-            let helpers = match fans {
-                true => (0..3 + random.below(5)).map(|_| steps(random, 2, kind, false)).collect(),
+            let fans_out = may_fan_out && random.unit() < class.fan_out_probability;
+            let sub_agents = match fans_out {
+                true => (0..3 + random.below(5))
+                    .map(|_| generate_steps(random, 2, class, false))
+                    .collect(),
                 false => Vec::new(),
             };
-            let think_ms = kind.think_ms / 2 + random.below(kind.think_ms);
-            Step { run_ms: 100 + random.below(150), calls, think_ms, helpers }
+            let think_ms = class.think_ms / 2 + random.below(class.think_ms);
+            Step { run_ms: 100 + random.below(150), calls, think_ms, sub_agents }
         })
         .collect()
 }
 
-/// A program of either kind, one in five of the long one.
-fn draw(random: &mut Random) -> Vec<Step> {
-    let kind = KINDS[usize::from(random.unit() < 0.2)];
-    let turns = (kind.turns / 2 + random.below(kind.turns + 1)).max(1);
-    steps(random, turns, kind, true)
+/// Generates a program; one in five is of the long class.
+fn generate_program(random: &mut Random) -> Vec<Step> {
+    let class = PROGRAM_CLASSES[usize::from(random.unit() < 0.2)];
+    let turns = (class.turns / 2 + random.below(class.turns + 1)).max(1);
+    generate_steps(random, turns, class, true)
 }
 
-fn requests(steps: &[Step]) -> u64 {
-    let helpers = |step: &Step| step.helpers.iter().map(|line| requests(line)).sum::<u64>();
-    steps.iter().map(|step| 1 + step.calls.len() as u64 + helpers(step)).sum()
+/// The number of requests in a program.
+fn count_requests(steps: &[Step]) -> u64 {
+    let sub_agents =
+        |step: &Step| step.sub_agents.iter().map(|steps| count_requests(steps)).sum::<u64>();
+    steps.iter().map(|step| 1 + step.calls.len() as u64 + sub_agents(step)).sum()
 }
 
+/// The duration of a program without waits for the rate limit, counting the longest call and then the
+/// longest sub-agent of each step.
 fn ideal_ms(steps: &[Step]) -> u64 {
     let step_ms = |step: &Step| {
         let calls = step.calls.iter().map(|call| call.run_ms).max().unwrap_or(0);
-        let helpers = step.helpers.iter().map(|line| ideal_ms(line)).max().unwrap_or(0);
-        step.run_ms + calls + helpers + step.think_ms
+        let sub_agents = step.sub_agents.iter().map(|steps| ideal_ms(steps)).max().unwrap_or(0);
+        step.run_ms + calls + sub_agents + step.think_ms
     };
     steps.iter().map(step_ms).sum()
 }
 
+/// Sums over programs; the value of a program is its ideal duration in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 struct Score {
-    owed: f64,
-    earned: f64,
+    possible_value: f64,
+    earned_value: f64,
     programs: f64,
     in_time: f64,
     late: f64,
 }
 
-struct World {
+struct Simulation {
     window: RefCell<SharedWindow>,
     policy: Policy,
     started: Instant,
@@ -143,55 +167,63 @@
     score: Cell<Score>,
 }
 
-impl World {
+impl Simulation {
+    /// The time since the window was opened. The simulation starts one window later, because a window
+    /// is assumed to be full when it is opened.
     fn now(&self) -> TimeMs {
         TimeMs(WINDOW_MS + self.started.elapsed().as_millis() as u64)
     }
 
-    async fn admit(&self, claim: Claim, wait_most_ms: u64) -> Result<(), u64> {
+    /// Waits up to `max_wait_ms` for admission; fails with the time to retry after.
+    async fn admit(&self, claim: Claim, max_wait_ms: u64) -> Result<(), u64> {
         let arrived = self.now();
         loop {
             let now = self.now();
-            let taken =
-                self.window.borrow_mut().try_admit(now, ALONE, claim, &ProgramStats::default());
-            let Err(retry_after_ms) = taken.map(drop) else {
+            let admitted = self.window.borrow_mut().try_admit(
+                now,
+                SINGLE_ENTRY,
+                claim,
+                &ProgramStats::default(),
+            );
+            let Err(retry_after_ms) = admitted.map(drop) else {
                 return Ok(());
             };
-            if now.since(arrived) + retry_after_ms > wait_most_ms {
+            if now.since(arrived) + retry_after_ms > max_wait_ms {
                 return Err(retry_after_ms);
             }
             sleep(Duration::from_millis(retry_after_ms)).await;
         }
     }
 
-    /// A request with its caller's attempts; whether it was served.
+    /// Makes a request with its caller's retries; returns whether it was served within its time limit.
     async fn request(&self, claim: impl Fn() -> Claim, call: Call) -> bool {
-        let ends_at = self.now().plus(call.time_ms);
+        let deadline = self.now().plus(call.time_limit_ms);
         for _ in 0..call.attempts {
-            let left_ms = ends_at.since(self.now());
-            let Wait { part, most_ms } = self.policy.wait;
+            let left_ms = deadline.since(self.now());
+            let Wait { fraction, max_ms } = self.policy.wait;
             let claim = claim();
             let wait_ms = match claim {
-                Claim::StartsProgram { .. } => BEGIN_WAIT_MS,
-                Claim::Continues => ((left_ms as f64 * part) as u64).min(most_ms),
+                Claim::StartsProgram { .. } => MAX_START_WAIT_MS,
+                Claim::Continues => ((left_ms as f64 * fraction) as u64).min(max_ms),
             };
             match self.admit(claim, wait_ms).await {
                 Ok(()) => {
                     sleep(Duration::from_millis(call.run_ms)).await;
-                    return self.now() <= ends_at;
+                    return self.now() <= deadline;
                 }
                 Err(retry_after_ms) => {
-                    let pause_ms = retry_after_ms.min(ends_at.since(self.now()) / 3);
-                    sleep(Duration::from_millis(pause_ms + WAY_MS)).await;
+                    let pause_ms = retry_after_ms.min(deadline.since(self.now()) / 3);
+                    sleep(Duration::from_millis(pause_ms + ROUND_TRIP_MS)).await;
                 }
             }
         }
         false
     }
 
-    async fn turn(&self, run_ms: u64, claim: impl Fn() -> Claim) -> bool {
-        for _ in 0..TURN_TRIES {
-            if self.request(&claim, Call { run_ms, time_ms: 3_000, attempts: 2 }).await {
+    /// Makes the request of a turn; the caller repeats it up to `MAX_TURN_TRIES` times.
+    async fn run_turn(&self, run_ms: u64, claim: impl Fn() -> Claim) -> bool {
+        for _ in 0..MAX_TURN_TRIES {
+            if self.request(&claim, Call { run_ms, time_limit_ms: 3_000, attempts: 2 }).await {
                 return true;
             }
             let pause_ms = 100 + self.random.borrow_mut().below(300);
@@ -200,26 +232,33 @@
         false
     }
 
-    /// A line of turns; whether it ended.
-    async fn line(self: Rc<World>, steps: Vec<Step>, begins: Option<TimeMs>) -> bool {
-        for (at, step) in steps.into_iter().enumerate() {
-            let begins = begins.filter(|_| at == 0 && self.policy.whole);
-            let claim = || match begins {
+    /// Runs the steps of a program or sub-agent; returns whether all were served. With `finish_target`,
+    /// the first request books capacity until then if the policy books programs.
+    async fn run_steps(
+        self: Rc<Simulation>,
+        steps: Vec<Step>,
+        finish_target: Option<TimeMs>,
+    ) -> bool {
+        for (index, step) in steps.into_iter().enumerate() {
+            let finish_target = finish_target.filter(|_| index == 0 && self.policy.books_program);
+            let claim = || match finish_target {
                 Some(finish) => Claim::StartsProgram { duration_ms: finish.since(self.now()) },
                 None => Claim::Continues,
             };
-            if !self.turn(step.run_ms, claim).await {
+            if !self.run_turn(step.run_ms, claim).await {
                 return false;
             }
-            let mut beside = JoinSet::new();
+            let mut parallel = JoinSet::new();
             for call in step.calls {
-                let world = self.clone();
-                beside.spawn_local(async move { world.request(|| Claim::Continues, call).await });
+                let simulation = self.clone();
+                parallel.spawn_local(
+                    async move { simulation.request(|| Claim::Continues, call).await },
+                );
             }
-            for helper in step.helpers {
-                beside.spawn_local(Box::pin(self.clone().line(helper, None)));
+            for sub_agent in step.sub_agents {
+                parallel.spawn_local(Box::pin(self.clone().run_steps(sub_agent, None)));
             }
-            if beside.join_all().await.contains(&false) {
+            if parallel.join_all().await.contains(&false) {
                 return false;
             }
             sleep(Duration::from_millis(step.think_ms)).await;
@@ -227,34 +266,37 @@
         true
     }
 
-    async fn program(self: Rc<World>, steps: Vec<Step>) {
+    /// Runs a program and scores it by its ideal duration: full value when it ends in time, 0.3 of
+    /// it within twice the time, otherwise none.
+    async fn run_program(self: Rc<Simulation>, steps: Vec<Step>) {
         let ideal_ms = ideal_ms(&steps);
-        let began = self.now();
-        let aim_ms = ideal_ms * 6 / 5 + 200;
-        let ended = self.clone().line(steps, Some(began.plus(aim_ms))).await;
-        let took_ms = self.now().since(began);
+        let started_at = self.now();
+        let target_ms = ideal_ms * 6 / 5 + 200;
+        let completed = self.clone().run_steps(steps, Some(started_at.plus(target_ms))).await;
+        let took_ms = self.now().since(started_at);
         let mut score = self.score.get();
-        let worth = ideal_ms as f64;
-        score.owed += worth;
+        let value = ideal_ms as f64;
+        score.possible_value += value;
         score.programs += 1.0;
-        if ended && took_ms <= aim_ms {
-            score.earned += worth;
+        if completed && took_ms <= target_ms {
+            score.earned_value += value;
             score.in_time += 1.0;
-        } else if ended && took_ms <= 2 * aim_ms {
-            score.earned += 0.3 * worth;
+        } else if completed && took_ms <= 2 * target_ms {
+            score.earned_value += 0.3 * value;
             score.late += 1.0;
         }
         self.score.set(score);
     }
 }
 
-/// One workspace with a limit in the window, of which its programs ask `load`; `mean_requests` is what
-/// a program makes.
-async fn play(policy: Policy, limit: f64, load: f64, mean_requests: f64, seed: u64) -> Score {
+/// Simulates a workspace with a limit of requests per window whose programs request `load` times that
+/// limit; `mean_requests` is the mean number of requests per program.
+async fn simulate(policy: Policy, limit: f64, load: f64, mean_requests: f64, seed: u64) -> Score {
     let mut random = Random::new(seed);
+    // The limit of a window is five seconds of the rate plus a burst of one second.
     let rate_per_s = limit / 6.0;
     let rate_limit = RateLimit { rate_per_s, burst: rate_per_s, window_ms: WINDOW_MS };
-    let world = Rc::new(World {
+    let simulation = Rc::new(Simulation {
         window: RefCell::new(SharedWindow::open(TimeMs(0), rate_limit)),
         policy,
         started: Instant::now(),
@@ -262,27 +304,28 @@
         score: Cell::default(),
     });
     let mut programs = JoinSet::new();
-    let asked_per_ms = load * limit / WINDOW_MS as f64;
-    let mut begins_at_ms = 0.0;
-    while begins_at_ms < BEGIN_FOR_MS as f64 {
-        let steps = draw(&mut random);
-        begins_at_ms += -random.unit().max(1e-9).ln() * mean_requests / asked_per_ms;
-        let world = world.clone();
-        let at = world.started + Duration::from_millis(begins_at_ms as u64);
+    let requests_per_ms = load * limit / WINDOW_MS as f64;
+    let mut starts_at_ms = 0.0;
+    while starts_at_ms < ARRIVALS_UNTIL_MS as f64 {
+        let steps = generate_program(&mut random);
+        starts_at_ms += -random.unit().max(1e-9).ln() * mean_requests / requests_per_ms;
+        let simulation = simulation.clone();
+        let start = simulation.started + Duration::from_millis(starts_at_ms as u64);
         programs.spawn_local(async move {
-            tokio::time::sleep_until(at).await;
-            world.program(steps).await;
+            tokio::time::sleep_until(start).await;
+            simulation.run_program(steps).await;
         });
     }
     programs.join_all().await;
-    world.score.get()
+    simulation.score.get()
 }
 
-/// Prints the table.
+/// Compares the policies at several limits and loads.
 pub fn run() {
     let mut random = Random::new(1);
-    let drawn: u64 = (0..MEAN_OVER).map(|_| requests(&draw(&mut random))).sum();
-    let mean_requests = drawn as f64 / MEAN_OVER as f64;
+    let total_requests: u64 =
+        (0..MEAN_SAMPLE_PROGRAMS).map(|_| count_requests(&generate_program(&mut random))).sum();
+    let mean_requests = total_requests as f64 / MEAN_SAMPLE_PROGRAMS as f64;
     println!("requests a program: {mean_requests:.1}");
     println!("| limit, load | policy | worth | in time % | late % | lost % | nines |");
     for (limit, load) in [
@@ -303,19 +346,20 @@
                     .start_paused(true)
                     .build()
                     .expect("a runtime");
-                let playing = play(policy, limit, load, mean_requests, seed);
-                let score = LocalSet::new().block_on(&runtime, playing);
-                sum.owed += score.owed;
-                sum.earned += score.earned;
+                let run = simulate(policy, limit, load, mean_requests, seed);
+                let score = LocalSet::new().block_on(&runtime, run);
+                sum.possible_value += score.possible_value;
+                sum.earned_value += score.earned_value;
                 sum.programs += score.programs;
                 sum.in_time += score.in_time;
                 sum.late += score.late;
             }
             let lost = 1.0 - (sum.in_time + sum.late) / sum.programs;
+            // The last column is the negative decimal logarithm of the lost share, at most 3.
             println!(
                 "| {limit}, {load} | {} | {:.3} | {:.1} | {:.1} | {:.1} | {:.2} |",
                 policy.name,
-                sum.earned / sum.owed,
+                sum.earned_value / sum.possible_value,
                 100.0 * sum.in_time / sum.programs,
                 100.0 * sum.late / sum.programs,
                 100.0 * lost,
--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md: what one more program, endpoint, peer or record costs. Whole runs
-//! are timed and divided; the sizes grow so that the slope shows.
+//! Measures what one more program, endpoint, peer or record costs, for docs/CAPACITY.md. Each figure is
+//! the time or memory of a whole run divided by its operations; growing sizes show the slope.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -21,8 +21,8 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Bytes that are allocated now.
-fn held_bytes() -> usize {
+/// Bytes currently allocated.
+fn allocated_bytes() -> usize {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
 }
@@ -31,7 +31,7 @@
     VmName::parse(name).expect("a valid name")
 }
 
-fn model() -> ModelName {
+fn model_name() -> ModelName {
     ModelName::parse("small").expect("a valid name")
 }
 
@@ -40,26 +40,27 @@
     ProgramId::parse(workspace, &format!("program-{number}")).expect("a valid name")
 }
 
-fn per(started: Instant, count: usize) -> f64 {
+/// Nanoseconds per operation since `started`.
+fn ns_per_operation(started: Instant, count: usize) -> f64 {
     started.elapsed().as_nanos() as f64 / count as f64
 }
 
-/// The records of programs of a few turns, each turn with texts of these sizes.
-fn records(
+/// A shard's records of programs with `turns` turns each, with texts of the given sizes in bytes.
+fn shard_records(
     programs: usize,
     turns: u32,
-    asked: usize,
-    answered: usize,
+    prompt_bytes: usize,
+    answer_bytes: usize,
 ) -> Vec<StoredRecord<Record>> {
     let claim = Record::Claim { entry: vm("e0"), instance: Instance(1), nonce: 1 };
-    let mut all = vec![claim];
+    let mut records = vec![claim];
     let mut sequence = 0;
     for turn in 1..=turns {
         for number in 0..programs {
             sequence += 1;
             let attempt = AttemptId { shard: ShardId(0), epoch: Epoch(1), sequence };
             let digest = Digest::of(&[&sequence.to_le_bytes()]);
-            all.push(Record::Intent(IntentRecord {
+            records.push(Record::Intent(IntentRecord {
                 program: program(number),
                 turn: TurnNo(turn),
                 digest,
@@ -69,16 +70,16 @@
                 idempotent: true,
                 idempotency_key: None,
             }));
-            all.push(Record::Outcome(OutcomeRecord {
+            records.push(Record::Outcome(OutcomeRecord {
                 program: program(number),
                 epoch: Epoch(1),
                 turn: TurnNo(turn),
                 attempt,
                 digest,
                 idempotency_key: None,
-                messages: vec![Message::text("user", &"a".repeat(asked))],
+                messages: vec![Message::text("user", &"a".repeat(prompt_bytes))],
                 result: TurnResult::Answered {
-                    text: "b".repeat(answered).into(),
+                    text: "b".repeat(answer_bytes).into(),
                     finish: FinishReason::Stop,
                     usage: Usage { prompt_tokens: 1, completion_tokens: 50 },
                 },
@@ -86,7 +87,7 @@
             }));
         }
     }
-    let stored = (1..).zip(all);
+    let stored = (1..).zip(records);
     let stored = stored.map(|(offset, data)| StoredRecord {
         offset: Offset(offset),
         time_ms: UnixMs(offset),
@@ -95,39 +96,39 @@
     stored.collect()
 }
 
-fn recovery() {
+fn measure_recovery() {
     println!("\nrecovery of a shard: 4 turns a program, 400 bytes asked and 600 answered a turn");
     println!(
         "{:>9} {:>9} {:>14} {:>12} {:>16}",
         "programs", "records", "fold ms", "ns/record", "bytes/program"
     );
     for programs in [100, 1_000, 5_000] {
-        let stream = records(programs, 4, 400, 600);
-        let text: Vec<String> =
+        let stream = shard_records(programs, 4, 400, 600);
+        let lines: Vec<String> =
             stream.iter().map(|r| serde_json::to_string(r).unwrap_or_default()).collect();
-        let before = held_bytes();
+        let before = allocated_bytes();
         let started = Instant::now();
         let read: Vec<StoredRecord<Record>> =
-            text.iter().filter_map(|line| serde_json::from_str(line).ok()).collect();
-        let fold = ShardState::from_records(Offset(1), &read);
+            lines.iter().filter_map(|line| serde_json::from_str(line).ok()).collect();
+        let shard_state = ShardState::from_records(Offset(1), &read);
         let ms = started.elapsed().as_secs_f64() * 1_000.0;
-        let ns = per(started, read.len());
+        let ns = ns_per_operation(started, read.len());
         let records = read.len();
         drop(read);
-        let bytes = (held_bytes() - before) / programs;
+        let bytes = (allocated_bytes() - before) / programs;
         println!("{programs:>9} {:>9} {ms:>14.1} {ns:>12.0} {bytes:>16}", records);
-        black_box(fold);
+        black_box(shard_state);
     }
-    let turn = serde_json::to_string(&records(1, 1, 400, 600)[2].data).unwrap_or_default();
-    let intent = serde_json::to_string(&records(1, 1, 400, 600)[1].data).unwrap_or_default();
+    let outcome = serde_json::to_string(&shard_records(1, 1, 400, 600)[2].data).unwrap_or_default();
+    let intent = serde_json::to_string(&shard_records(1, 1, 400, 600)[1].data).unwrap_or_default();
     println!(
         "bytes of an intent {}, of an outcome without its texts {}",
         intent.len(),
-        turn.len() - 1_000
+        outcome.len() - 1_000
     );
 }
 
-fn routing() {
+fn measure_routing() {
     println!("\nrouting: one placement against the number of endpoints of a model");
     println!("{:>9} {:>12} {:>12} {:>14}", "endpoints", "first ns", "later ns", "bytes/program");
     for endpoints in [9, 100, 1_000, 2_750] {
@@ -144,7 +145,7 @@
         let mut router = Router::new(RoutingPolicy::CacheAffinity, 1);
         let calls = (2_000_000 / endpoints).min(20_000);
         let programs: Vec<ProgramId> = (0..calls).map(program).collect();
-        let target = model();
+        let target = model_name();
         let mut place = |is_first: bool| {
             let started = Instant::now();
             for (at, program) in programs.iter().enumerate() {
@@ -160,11 +161,11 @@
                 };
                 let _ = black_box(router.place(TimeMs(at as u64 * 20), &request, &views));
             }
-            per(started, calls)
+            ns_per_operation(started, calls)
         };
-        let before = held_bytes();
+        let before = allocated_bytes();
         let first = place(true);
-        let bytes = (held_bytes() - before) / calls;
+        let bytes = (allocated_bytes() - before) / calls;
         let later = place(false);
         println!("{endpoints:>9} {first:>12.0} {later:>12.0} {bytes:>14}");
     }
@@ -185,7 +186,7 @@
     }
 }
 
-fn membership() {
+fn measure_membership() {
     println!("\nmembership: direct heartbeats to every entry, 4 a second");
     println!(
         "{:>8} {:>12} {:>12} {:>14} {:>12}",
@@ -206,14 +207,14 @@
                 }
             }
         }
-        let ns = per(started, rounds * entries);
-        let sent = 4 * bytes * (entries - 1);
-        let core = ns * 4.0 * entries as f64 / 1e9 * 100.0;
-        println!("{entries:>8} {bytes:>12} {ns:>12.0} {sent:>14} {core:>12.3}");
+        let ns = ns_per_operation(started, rounds * entries);
+        let sent_per_s = 4 * bytes * (entries - 1);
+        let core_percent = ns * 4.0 * entries as f64 / 1e9 * 100.0;
+        println!("{entries:>8} {bytes:>12} {ns:>12.0} {sent_per_s:>14} {core_percent:>12.3}");
     }
 }
 
-fn configuration() {
+fn measure_configuration() {
     println!("\nconfiguration: the book against the number of workspaces, two keys each");
     println!(
         "{:>10} {:>14} {:>16} {:>16} {:>14}",
@@ -226,7 +227,7 @@
         return;
     };
     for workspaces in [8, 330, 3_300] {
-        let before = held_bytes();
+        let before = allocated_bytes();
         let mut config_state = ConfigState::default();
         let started = Instant::now();
         let mut offset = 0;
@@ -243,24 +244,24 @@
                 config_state.apply(Offset(offset), &change);
             }
         }
-        let ns = per(started, offset as usize);
-        let bytes = (held_bytes() - before) / workspaces;
+        let ns = ns_per_operation(started, offset as usize);
+        let bytes = (allocated_bytes() - before) / workspaces;
         let digests: Vec<KeyDigest> =
             (0..10_000).map(|n| KeyDigest::of_key(&format!("key-{}-1", n % workspaces))).collect();
         let started = Instant::now();
         digests.iter().for_each(|digest| drop(black_box(config_state.authenticate(digest))));
-        let authenticate = per(started, digests.len());
+        let authenticate = ns_per_operation(started, digests.len());
         let snapshot = serde_json::to_vec(&config_state.snapshot()).unwrap_or_default().len();
         println!("{workspaces:>10} {ns:>14.0} {bytes:>16} {authenticate:>16.0} {snapshot:>14}");
     }
 }
 
-fn lending() {
+fn measure_lending() {
     println!("\nlending: one question against the number of workspaces");
     println!("{:>10} {:>12} {:>16}", "workspaces", "ns", "bytes/workspace");
     for workspaces in [8, 330, 3_300] {
         let mut lender = Lender::first(LendingTimes::default(), TimeMs(0));
-        let before = held_bytes();
+        let before = allocated_bytes();
         let calls = 200_000;
         let names: Vec<WorkspaceId> = (0..workspaces)
             .map(|n| WorkspaceId::parse(&format!("w{n}")).expect("a valid name"))
@@ -278,16 +279,16 @@
             let now = TimeMs(call as u64 / 20);
             black_box(lender.lend(now, now, (100, 100), &request));
         }
-        let ns = per(started, calls);
-        println!("{workspaces:>10} {ns:>12.0} {:>16}", (held_bytes() - before) / workspaces);
+        let ns = ns_per_operation(started, calls);
+        println!("{workspaces:>10} {ns:>12.0} {:>16}", (allocated_bytes() - before) / workspaces);
     }
 }
 
-/// Prints all slopes.
+/// Prints all measurements.
 pub fn run() {
-    recovery();
-    routing();
-    membership();
-    configuration();
-    lending();
+    measure_recovery();
+    measure_routing();
+    measure_membership();
+    measure_configuration();
+    measure_lending();
 }
--- a/lab/src/tables.rs
+++ b/lab/src/tables.rs
@@ -1,4 +1,5 @@
-//! The tables of routing, order of service and overload, over five seeds.
+//! Tables of simulated latency, wasted prefill, fairness and failures by routing, queue order and load
+//! shedding, over five seeds.
 
 use trefoilproxy::endpoint::OrderPolicy;
 use trefoilproxy::routing::{RoutingPolicy, SheddingPolicy};
@@ -14,15 +15,16 @@
     sorted.get(index).map_or(0.0, |ms| *ms as f64 / 1_000.0)
 }
 
-/// Mean over the seeds, and half of the distance between the extremes.
+/// The mean and half of the distance between the extremes.
 fn spread(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
-    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    (mean, (most - least) / 2.0)
+    let min_value = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max_value = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    (mean, (max_value - min_value) / 2.0)
 }
 
-fn row(
+/// Runs one combination over all seeds and prints its row.
+fn print_row(
     deployment: Deployment,
     load: f64,
     routing: RoutingPolicy,
@@ -38,11 +40,11 @@
     let p50 = column(&|score| percentile(&score.latency_ms, 50));
     let p95 = column(&|score| percentile(&score.latency_ms, 95));
     let p99 = column(&|score| percentile(&score.latency_ms, 99));
-    let wasted = column(&|score| score.wasted * 100.0);
-    let worst = column(&|score| score.worst_workspace);
+    let recomputed_percent = column(&|score| score.recomputed_share * 100.0);
+    let worst_relative_latency = column(&|score| score.worst_relative_latency);
     let seconds = (COUNTED_UNTIL_MS - WARM_UP_MS) as f64 / 1_000.0;
     let goodput = column(&|score| score.finished as f64 / seconds);
-    let worst_failed = column(&|score| score.worst_failed);
+    let worst_failed_percent = column(&|score| score.worst_failed_percent);
     let failed = column(&|score| {
         100.0 * score.failed as f64 / (score.failed + score.finished).max(1) as f64
     });
@@ -59,17 +61,17 @@
         p95.1,
         p99.0,
         p99.1,
-        wasted.0,
-        wasted.1,
-        worst.0,
-        worst.1,
+        recomputed_percent.0,
+        recomputed_percent.1,
+        worst_relative_latency.0,
+        worst_relative_latency.1,
         goodput.0,
         failed.0,
-        worst_failed.0,
+        worst_failed_percent.0,
     );
 }
 
-fn head() {
+fn print_header() {
     println!(
         "{:<13} {:>4} {:<14} {:<17} {:<12} {:<12} {:<12} {:<12} {:<11} {:<11} {:>5} {:>5} {:>6}",
         "deployment",
@@ -88,9 +90,9 @@
     );
 }
 
-/// Prints the tables.
+/// Compares routing policies, then queue orders, at normal load.
 pub fn run() {
-    head();
+    print_header();
     for deployment in [ICE_WATCH, BIOGAS_LEDGER] {
         for routing in [
             RoutingPolicy::Random,
@@ -98,35 +100,41 @@
             RoutingPolicy::LeastReported,
             RoutingPolicy::CacheAffinity,
         ] {
-            row(deployment, 1.0, routing, OrderPolicy::FairThenAttained, SheddingPolicy::Fair);
+            print_row(
+                deployment,
+                1.0,
+                routing,
+                OrderPolicy::FairThenAttained,
+                SheddingPolicy::Fair,
+            );
         }
         for order in [OrderPolicy::Fifo, OrderPolicy::FairShare] {
-            row(deployment, 1.0, RoutingPolicy::CacheAffinity, order, SheddingPolicy::Fair);
+            print_row(deployment, 1.0, RoutingPolicy::CacheAffinity, order, SheddingPolicy::Fair);
         }
     }
 }
 
-/// Prints what becomes of each order of service beyond capacity.
+/// Compares shedding policies at loads up to five times the normal one.
 pub fn overload() {
-    head();
+    print_header();
     let order = OrderPolicy::FairThenAttained;
     for load in [1.0, 2.0, 3.0, 5.0] {
         for shedding in [SheddingPolicy::None, SheddingPolicy::NewPrograms, SheddingPolicy::Fair] {
-            row(ICE_WATCH, load, RoutingPolicy::CacheAffinity, order, shedding);
+            print_row(ICE_WATCH, load, RoutingPolicy::CacheAffinity, order, shedding);
         }
     }
 }
 
-/// Prints how the others fare while one workspace floods.
+/// Compares shedding policies and queue orders without a flooding workspace and with one.
 pub fn flood() {
-    head();
+    print_header();
     let affinity = RoutingPolicy::CacheAffinity;
     for flood in [0, 1, 4] {
         println!("{flood} programs of the flooding workspace for each of the others'");
         let deployment = Deployment { flood, ..BIOGAS_LEDGER };
         for shedding in [SheddingPolicy::None, SheddingPolicy::NewPrograms, SheddingPolicy::Fair] {
             for order in [OrderPolicy::Fifo, OrderPolicy::FairThenAttained] {
-                row(deployment, 1.5, affinity, order, shedding);
+                print_row(deployment, 1.5, affinity, order, shedding);
             }
         }
     }
--- a/standins/src/bin/trefoil-demo.rs
+++ b/standins/src/bin/trefoil-demo.rs
@@ -1,5 +1,6 @@
-//! The main job, on loopback: two entries in different failure domains, two model engines and a
-//! tool service, each with its process beside it, and the stand-ins; then real programs.
+//! Runs a small deployment on loopback: two entries in different failure domains, two model engines
+//! and a tool service, each with its process beside it, a log service and a VM list. Then runs
+//! programs of several turns against it.
 
 use std::io::Error;
 use std::net::SocketAddr;
@@ -27,32 +28,36 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    match demo().await {
+    match run_demo().await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("demo: {fault}");
+        Err(error) => {
+            eprintln!("demo: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// The folder that all programs were built into.
-fn programs() -> std::io::Result<PathBuf> {
-    let me = std::env::current_exe()?;
-    me.parent().map(Path::to_path_buf).ok_or(Error::other("no folder"))
+/// Folder of this executable, in which the others were built too.
+fn program_dir() -> std::io::Result<PathBuf> {
+    let executable = std::env::current_exe()?;
+    executable
+        .parent()
+        .map(Path::to_path_buf)
+        .ok_or_else(|| Error::other(format!("{} has no parent folder", executable.display())))
 }
 
-fn stand_in(programs: &Path, kind: &str) -> std::io::Result<Process> {
-    Process::spawn(kind, &programs.join("trefoil-standin"), &[kind.to_string()])
+fn spawn_stand_in(program_dir: &Path, kind: &str) -> std::io::Result<Process> {
+    Process::spawn(kind, &program_dir.join("trefoil-standin"), &[kind.to_string()])
 }
 
-async fn demo() -> std::io::Result<()> {
-    let programs = programs()?;
-    let log = stand_in(&programs, "log")?;
-    let vms = stand_in(&programs, "vms")?;
-    let engines = [stand_in(&programs, "engine")?, stand_in(&programs, "engine")?];
-    let tools = stand_in(&programs, "tools")?;
-    let mut fleet = Fleet::new(&programs, log.address("api"), vms.address("api"));
+async fn run_demo() -> std::io::Result<()> {
+    let program_dir = program_dir()?;
+    let log = spawn_stand_in(&program_dir, "log")?;
+    let vms = spawn_stand_in(&program_dir, "vms")?;
+    let engines =
+        [spawn_stand_in(&program_dir, "engine")?, spawn_stand_in(&program_dir, "engine")?];
+    let tools = spawn_stand_in(&program_dir, "tools")?;
+    let mut fleet = Fleet::new(&program_dir, log.address("api"), vms.address("api"));
     fleet.start_entry("entry-a", "domain-a")?;
     fleet.start_entry("entry-b", "domain-b")?;
     fleet.start_endpoint("model-a", "domain-a", ("engine", "small", engines[0].address("api")))?;
@@ -60,7 +65,7 @@
     fleet.start_endpoint("tools-a", "domain-a", ("service", "notices", tools.address("api")))?;
     fleet.list().await;
     if !fleet.wait_ready().await {
-        return Err(Error::other("the entries do not get ready"));
+        return Err(Error::other("the entries did not become ready within the time limit"));
     }
     println!("2 entries, 2 engines and 1 service are up, each in a process of its own");
     publish_contract(&fleet)?;
@@ -71,15 +76,15 @@
         tokio::spawn(async move { run_program(&caller, entries, number).await })
     });
     let runs: Vec<_> = runs.collect();
-    let mut whole = true;
+    let mut all_complete = true;
     for run in runs {
-        let (lines, ok) = run.await.map_err(Error::other)?;
+        let (lines, is_complete) = run.await.map_err(Error::other)?;
         println!("{lines}");
-        whole &= ok;
+        all_complete &= is_complete;
     }
-    match whole {
+    match all_complete {
         true => Ok(()),
-        false => Err(Error::other("not every answer was whole")),
+        false => Err(Error::other("at least one call failed or its response was truncated")),
     }
 }
 
@@ -87,18 +92,21 @@
     let file = std::env::temp_dir().join(format!("trefoil-demo-{}.toml", std::process::id()));
     std::fs::write(&file, CONTRACT)?;
     let path = file.to_string_lossy().to_string();
-    let (published, said) = fleet.ctl(&["publish", &path, "--wait"], "")?;
-    println!("trefoilctl publish: {}", said.trim());
+    let (publish_code, output) = fleet.ctl(&["publish", &path, "--wait"], "")?;
+    println!("trefoilctl publish: {}", output.trim());
     std::fs::remove_file(&file)?;
-    let (granted, said) = fleet.ctl(&["grant", "ice-watch", "demo", "--wait"], KEY)?;
-    println!("trefoilctl grant: {}", said.trim());
-    match published + granted {
+    let (grant_code, output) = fleet.ctl(&["grant", "ice-watch", "demo", "--wait"], KEY)?;
+    println!("trefoilctl grant: {}", output.trim());
+    match publish_code + grant_code {
         0 => Ok(()),
-        _ => Err(Error::other("the contract could not be published")),
+        _ => Err(Error::other(
+            "trefoilctl could not publish the contract or grant the key; its output is above",
+        )),
     }
 }
 
-/// A program of four turns, each through the other entry than the one before.
+/// Runs a program of four turns, alternating between the entries. Returns the lines to print and
+/// whether all calls completed.
 async fn run_program(caller: &Caller, entries: [SocketAddr; 2], number: usize) -> (String, bool) {
     let name = format!("crossing-{number}");
     let turns = [
@@ -109,11 +117,11 @@
     ];
     let started = Instant::now();
     let mut lines = vec![format!("program {name}")];
-    let mut whole = true;
+    let mut all_complete = true;
     for (index, turn) in turns.iter().enumerate() {
         let entry = [entries[(number + index) % 2]];
         let answer = caller.insist(&entry, turn, 3).await;
-        whole &= matches!(answer, Answer::Whole(_));
+        all_complete &= matches!(answer, Answer::Whole(_));
         let shown = match &answer {
             Answer::Whole(text) => text.clone(),
             other => format!("{other:?}"),
@@ -121,7 +129,7 @@
         lines.push(format!("  turn {} via entry {}: {shown}", index + 1, (number + index) % 2));
     }
     let ended = caller.end(entries[0], &name).await;
-    whole &= matches!(ended, Answer::Whole(_));
+    all_complete &= matches!(ended, Answer::Whole(_));
     lines.push(format!("  latency of the program: {} ms", started.elapsed().as_millis()));
-    (lines.join("\n"), whole)
+    (lines.join("\n"), all_complete)
 }
--- a/standins/src/bin/trefoil-standin.rs
+++ b/standins/src/bin/trefoil-standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -8,14 +8,14 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let kind = std::env::args().nth(1).unwrap_or_default();
-    let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
+    let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     let started = match kind.as_str() {
-        "log" => log_service::spawn(anywhere).await,
-        "vms" => vm_list::spawn(anywhere).await,
-        "engine" => engine::spawn(anywhere, engine::Settings::default()).await,
-        "tools" => tool_service::spawn(anywhere).await,
+        "log" => log_service::spawn(loopback).await,
+        "vms" => vm_list::spawn(loopback).await,
+        "engine" => engine::spawn(loopback, engine::Settings::default()).await,
+        "tools" => tool_service::spawn(loopback).await,
         _ => {
-            eprintln!("usage: trefoil-standin log|vms|engine|tools");
+            eprintln!("unknown stand-in {kind:?}; usage: trefoil-standin log|vms|engine|tools");
             return ExitCode::from(2);
         }
     };
@@ -27,8 +27,8 @@
             running.wait().await;
             ExitCode::SUCCESS
         }
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the system, as an agent program makes its calls.
+//! Client of the proxy that makes calls as an agent program does.
 
 use std::net::SocketAddr;
 
@@ -10,52 +10,52 @@
 use hyper_util::rt::TokioExecutor;
 use serde_json::{Value, json};
 
-use crate::http::{Body, whole};
+use crate::http::{Body, full_body};
 
-/// Calls one workspace's programs with one key.
+/// Client that authenticates with one API key.
 #[derive(Clone)]
 pub struct Caller {
     client: Client<HttpConnector, Body>,
     key: String,
 }
 
-/// One call.
+/// A call of a program.
 #[derive(Debug, Clone)]
 pub struct Turn {
-    /// The program.
+    /// Program id.
     pub program: String,
-    /// Its number.
+    /// Turn number, if the call is numbered.
     pub turn: Option<u32>,
-    /// How long the caller waits.
+    /// Deadline, relative to the time of sending.
     pub deadline_ms: u64,
-    /// The path.
+    /// Request path.
     pub path: String,
-    /// The body.
+    /// Request body.
     pub body: Value,
 }
 
-/// What came of a call.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The whole answer: its text, or a service's reply.
+    /// Complete response: the text of a completion, or the body of a service's response.
     Whole(String),
-    /// An error: its code and whether the call ran.
+    /// Error response.
     Error {
-        /// The HTTP status; 200 for an error within a stream.
+        /// HTTP status; 200 for an error event in a stream.
         status: u16,
-        /// The code.
+        /// Error code.
         code: String,
-        /// `not_run`, `ran` or `unknown`.
+        /// Whether the call was executed: `not_run`, `ran` or `unknown`.
         ran: String,
-        /// When to come back.
+        /// Delay before a retry, if the call may be retried.
         retry_after_ms: Option<u64>,
     },
-    /// The answer was cut, or no connection could be made.
+    /// The response was truncated, or the connection failed.
     Cut,
 }
 
 impl Answer {
-    /// The text of a whole answer.
+    /// Text of a complete response; empty otherwise.
     pub fn text(&self) -> &str {
         match self {
             Answer::Whole(text) => text,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The code of an error.
+    /// Error code; empty if the outcome is not an error response.
     pub fn code(&self) -> &str {
         match self {
             Answer::Error { code, .. } => code,
@@ -71,7 +71,7 @@
         }
     }
 
-    fn of_error(status: StatusCode, body: &Value) -> Answer {
+    fn from_error(status: StatusCode, body: &Value) -> Answer {
         let error = &body["error"];
         Answer::Error {
             status: status.as_u16(),
@@ -82,7 +82,7 @@
     }
 }
 
-/// A streamed completion of a numbered turn.
+/// Builds a streamed completion request for a numbered turn.
 pub fn completion(program: &str, turn: u32, content: &str) -> Turn {
     let messages = json!([{ "role": "user", "content": content }]);
     Turn {
@@ -94,7 +94,7 @@
     }
 }
 
-/// A call of a service.
+/// Builds a request for a service action, such as `notices/lookup`.
 pub fn action(program: &str, turn: u32, action: &str, body: Value) -> Turn {
     Turn {
         program: program.to_string(),
@@ -106,18 +106,20 @@
 }
 
 impl Caller {
-    /// A caller with a key.
+    /// Creates a client with an API key.
     pub fn new(key: &str) -> Caller {
         let client = Client::builder(TokioExecutor::new()).build_http();
         Caller { client, key: key.to_string() }
     }
 
-    /// Makes a call at an entry.
+    /// Sends a call to an entry.
     pub async fn call(&self, entry: SocketAddr, turn: &Turn) -> Answer {
         self.try_call(entry, turn).await.unwrap_or(Answer::Cut)
     }
 
-    /// Makes a call, and again while the answer says that it is worth it, at each entry in turn.
+    /// Sends a call to the entries in rotation, up to `tries` times, until it completes or fails with
+    /// an error without a retry delay. Between tries it waits for the retry delay, at most 1 s, or for
+    /// 50 ms after a truncated response or a failed connection.
     pub async fn insist(&self, entries: &[SocketAddr], turn: &Turn, tries: usize) -> Answer {
         let mut answer = Answer::Cut;
         for entry in entries.iter().cycle().take(tries) {
@@ -133,14 +135,14 @@
         answer
     }
 
-    /// Ends a program.
+    /// Ends a program with a DELETE request.
     pub async fn end(&self, entry: SocketAddr, program: &str) -> Answer {
         let url = format!("http://{entry}/v1/programs/{program}");
         let request = Request::builder()
             .method(Method::DELETE)
             .uri(url)
             .header("authorization", format!("Bearer {}", self.key))
-            .body(whole(Vec::new()));
+            .body(full_body(Vec::new()));
         let Ok(request) = request else {
             return Answer::Cut;
         };
@@ -157,7 +159,7 @@
         if let Some(number) = turn.turn {
             request = request.header("x-trefoil-turn", number);
         }
-        let body = whole(serde_json::to_vec(&turn.body).ok()?);
+        let body = full_body(serde_json::to_vec(&turn.body).ok()?);
         self.send(request.body(body).ok()?).await
     }
 
@@ -168,12 +170,12 @@
         let streamed = content_type.is_some_and(|kind| kind == "text/event-stream");
         let mut body = response.into_body();
         let mut bytes = Vec::new();
-        let mut whole = true;
+        let mut complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend(frame.into_data().iter().flat_map(|data| data.chunk())),
                 Err(_) => {
-                    whole = false;
+                    complete = false;
                     break;
                 }
             }
@@ -182,12 +184,12 @@
         if streamed {
             return Some(read_events(&text));
         }
-        if !whole {
+        if !complete {
             return Some(Answer::Cut);
         }
         let json: Value = serde_json::from_str(&text).unwrap_or_default();
         if !json["error"].is_null() {
-            return Some(Answer::of_error(status, &json));
+            return Some(Answer::from_error(status, &json));
         }
         match json["choices"][0]["message"]["content"].as_str() {
             Some(content) => Some(Answer::Whole(content.to_string())),
@@ -196,7 +198,7 @@
     }
 }
 
-/// Reads a streamed answer. Only `[DONE]` makes it whole.
+/// Parses a streamed response. Without the final `[DONE]` it counts as truncated.
 fn read_events(text: &str) -> Answer {
     let mut answer = String::new();
     let mut is_error = false;
@@ -214,7 +216,7 @@
             return Answer::Cut;
         };
         if is_error {
-            return Answer::of_error(StatusCode::OK, &event);
+            return Answer::from_error(StatusCode::OK, &event);
         }
         answer.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
     }
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,9 +1,10 @@
-//! A model engine: continuous batching with a token rate, a bounded prefix cache, priorities,
-//! resume, cancel, cache listing, export, import and free, a lagging load report, late cache
-//! events with gaps, and orders with or without a fencing check.
+//! Stand-in for a model engine: continuous batching at a configurable token rate, a bounded prefix
+//! cache, priorities, resume, cancel, cache listing, export, import and free, a delayed load report,
+//! cache events with gaps, and commands at `/orders` with or without a fencing check. `/control` sets
+//! the speed, limits and faults, and returns counters.
 //!
-//! Its answer names how many messages it saw and a digest of them, so that a test can tell
-//! whether a history was whole.
+//! Each response contains the number of messages received and a digest of them, so that tests can
+//! detect an incomplete conversation history.
 
 mod cache;
 
@@ -22,30 +23,31 @@
 use crate::http::{self, Body, Running};
 use cache::Cache;
 
-/// A message with this text in it crashes the engine that runs it.
-pub const CRASH_MARK: &str = "crash-engine";
+/// The engine crashes when the last message of a completion request contains this text.
+pub const CRASH_MARKER: &str = "crash-engine";
 
-/// How fast the engine is and what it does wrong. The control call replaces it.
+/// Speed, limits and faults of the engine. `POST /control` replaces them as a whole;
+/// absent fields take their defaults.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// Time between two tokens of one stream.
+    /// Interval between two tokens of a stream.
     pub token_us: u64,
-    /// Further time for each other stream that runs.
+    /// Added to `token_us` for each running stream, including this one.
     pub token_us_per_running: u64,
-    /// Time to read one prompt token that the cache does not hold.
+    /// Prefill time per uncached prompt token.
     pub prefill_us: u64,
-    /// Tokens that the cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// How late the load report is.
+    /// Minimum interval between updates of the load report.
     pub load_lag_ms: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether `/orders` rejects commands with an outdated fencing token.
     pub checks_fencing: bool,
-    /// How long it is away after a crash.
+    /// Time during which requests fail with status 503 after a crash.
     pub restart_ms: u64,
-    /// Streams that run at once; more wait, those with the least `priority` first.
+    /// Maximum number of running streams. Further ones queue; the lowest `priority` value starts first.
     pub max_batch: u64,
-    /// Cut every stream after this many tokens; 0 cuts none.
+    /// Aborts every stream after this many tokens; 0 disables this.
     pub cut_after_tokens: u64,
 }
 
@@ -65,15 +67,18 @@
     }
 }
 
-/// What a completion call asks for.
+/// Body of a completion request.
 #[derive(Debug, Clone, Deserialize)]
 struct Completion {
     messages: Vec<Value>,
     max_tokens: u64,
+    /// Id under which `/cancel` ends the stream.
     #[serde(default)]
     request_id: String,
+    /// Key of the conversation in the prefix cache; not cached if empty.
     #[serde(default)]
     cache_key: String,
+    /// Text of this response that was already delivered; the stream continues after it.
     #[serde(default)]
     resume_text: String,
     #[serde(default)]
@@ -83,21 +88,26 @@
 #[derive(Default)]
 struct State {
     settings: Settings,
-    /// Drawn anew by each crash.
-    run: u64,
+    /// Number of the process instance, reported as `run`; incremented by each crash.
+    instance: u64,
     down_until: Option<Instant>,
     running: u64,
-    /// The priorities and numbers of streams that wait to run.
+    /// Priority and arrival number of each queued stream.
     waiting: BTreeSet<(u64, u64)>,
     cancelled: HashSet<String>,
     cache: Cache,
-    load: (Option<Instant>, u64),
-    fencing: u64,
+    /// Time of the last update of the load report, and the number of running streams then.
+    load_report: (Option<Instant>, u64),
+    /// Fencing token of the last accepted command.
+    fencing_token: u64,
+    /// Model name in the last accepted command of each kind.
     models: HashMap<String, String>,
     arrivals: u64,
     completions: u64,
+    /// Requests with an Authorization header. The proxy must not forward any.
     authorizations: u64,
     prompt_tokens: u64,
+    /// Prompt tokens that were not in the prefix cache.
     computed_tokens: u64,
 }
 
@@ -105,7 +115,7 @@
 
 /// Starts an engine.
 pub async fn spawn(address: SocketAddr, settings: Settings) -> std::io::Result<Running> {
-    let state = State { settings, run: 1, ..State::default() };
+    let state = State { settings, instance: 1, ..State::default() };
     let state = Arc::new(Mutex::new(state));
     http::serve(address, move |request| {
         let state = state.clone();
@@ -114,7 +124,7 @@
     .await
 }
 
-fn locked(state: &Shared) -> std::sync::MutexGuard<'_, State> {
+fn lock_state(state: &Shared) -> std::sync::MutexGuard<'_, State> {
     state.lock().expect("not poisoned")
 }
 
@@ -124,23 +134,23 @@
         return control(state, request).await;
     }
     if request.headers().contains_key("authorization") {
-        locked(state).authorizations += 1;
+        lock_state(state).authorizations += 1;
     }
-    if locked(state).down_until.is_some_and(|until| Instant::now() < until) {
+    if lock_state(state).down_until.is_some_and(|until| Instant::now() < until) {
         return http::json(StatusCode::SERVICE_UNAVAILABLE, &"restarting");
     }
     match (request.method().clone(), path.as_str()) {
         (Method::GET, "/health") => {
-            http::json(StatusCode::OK, &json!({ "run": locked(state).run }))
+            http::json(StatusCode::OK, &json!({ "run": lock_state(state).instance }))
         }
-        (Method::GET, "/load") => http::json(StatusCode::OK, &load(state)),
-        (Method::GET, "/cache") => http::json(StatusCode::OK, &locked(state).cache.entries()),
+        (Method::GET, "/load") => http::json(StatusCode::OK, &load_report(state)),
+        (Method::GET, "/cache") => http::json(StatusCode::OK, &lock_state(state).cache.entries()),
         (Method::GET, "/cache/events") => {
             let from = http::query_number(&request, "from").unwrap_or(0);
-            http::json(StatusCode::OK, &locked(state).cache.events(from))
+            http::json(StatusCode::OK, &lock_state(state).cache.events(from))
         }
         (Method::POST, "/v1/chat/completions") => complete(state, request).await,
-        (Method::POST, path) => order(state, path, request).await,
+        (Method::POST, path) => handle_command(state, path, request).await,
         _ => http::json(StatusCode::NOT_FOUND, &"no such call"),
     }
 }
@@ -150,13 +160,13 @@
         let Some(settings) = http::read_json::<Settings>(request).await else {
             return http::json(StatusCode::BAD_REQUEST, &"not a set of settings");
         };
-        locked(state).settings = settings;
+        lock_state(state).settings = settings;
     }
-    let state = locked(state);
+    let state = lock_state(state);
     http::json(
         StatusCode::OK,
         &json!({
-            "run": state.run,
+            "run": state.instance,
             "completions": state.completions,
             "authorizations": state.authorizations,
             "prompt_tokens": state.prompt_tokens,
@@ -167,41 +177,44 @@
     )
 }
 
-fn load(state: &Shared) -> Value {
-    let mut state = locked(state);
+fn load_report(state: &Shared) -> Value {
+    let mut state = lock_state(state);
     let lag = Duration::from_millis(state.settings.load_lag_ms);
-    if state.load.0.is_none_or(|at| at.elapsed() >= lag) {
-        state.load = (Some(Instant::now()), state.running);
+    if state.load_report.0.is_none_or(|at| at.elapsed() >= lag) {
+        state.load_report = (Some(Instant::now()), state.running);
     }
-    json!({ "running": state.load.1, "cached_tokens": state.cache.tokens() })
+    json!({ "running": state.load_report.1, "cached_tokens": state.cache.tokens() })
 }
 
-async fn order(state: &Shared, path: &str, request: Request<Incoming>) -> Response<Body> {
+async fn handle_command(state: &Shared, path: &str, request: Request<Incoming>) -> Response<Body> {
     let Some(body) = http::read_json::<Value>(request).await else {
         return http::json(StatusCode::BAD_REQUEST, &"not JSON");
     };
     let text = |field: &str| body[field].as_str().unwrap_or_default().to_string();
-    let mut state = locked(state);
+    let mut state = lock_state(state);
     match path {
         "/cancel" => {
             state.cancelled.insert(text("request_id"));
         }
         "/cache/free" => state.cache.free(&text("key")),
         "/cache/export" => {
-            let tokens = state.cache.held(&text("key"));
+            let tokens = state.cache.cached_tokens(&text("key"));
             return http::json(StatusCode::OK, &json!({ "key": text("key"), "tokens": tokens }));
         }
         "/cache/import" => {
             let capacity = state.settings.cache_tokens;
             let tokens = body["tokens"].as_u64().unwrap_or(0);
-            state.cache.hold(&text("key"), tokens, capacity);
+            state.cache.insert(&text("key"), tokens, capacity);
         }
         "/orders" => {
-            let fencing = body["fencing"].as_u64().unwrap_or(0);
-            if state.settings.checks_fencing && fencing < state.fencing {
-                return http::json(StatusCode::CONFLICT, &json!({ "fencing": state.fencing }));
+            let fencing_token = body["fencing"].as_u64().unwrap_or(0);
+            if state.settings.checks_fencing && fencing_token < state.fencing_token {
+                return http::json(
+                    StatusCode::CONFLICT,
+                    &json!({ "fencing": state.fencing_token }),
+                );
             }
-            state.fencing = fencing;
+            state.fencing_token = fencing_token;
             state.models.insert(text("kind"), text("name"));
         }
         _ => return http::json(StatusCode::NOT_FOUND, &"no such call"),
@@ -216,35 +229,35 @@
     let contents: Vec<String> =
         call.messages.iter().map(|message| message["content"].to_string()).collect();
     let prompt_tokens = contents.iter().map(|text| text.len() as u64 / 4 + 1).sum();
-    let crashes = contents.last().is_some_and(|text| text.contains(CRASH_MARK));
+    let crashes = contents.last().is_some_and(|text| text.contains(CRASH_MARKER));
     wait_for_batch(state, call.priority).await;
-    let run = Run::begin(state, &call, prompt_tokens);
-    let resumed = call.resume_text.split_inclusive(' ').count();
-    let words = answer_words(&contents, resumed as u64 + call.max_tokens);
-    http::streamed(async_stream::stream! {
-        run.prefill().await;
+    let running = RunningStream::begin(state, &call, prompt_tokens);
+    let resumed_words = call.resume_text.split_inclusive(' ').count();
+    let words = response_words(&contents, resumed_words as u64 + call.max_tokens);
+    http::streaming_response(async_stream::stream! {
+        running.prefill().await;
         if crashes {
-            run.crash();
+            running.crash();
         }
         let mut sent = 0;
-        for word in words.iter().skip(resumed).take(call.max_tokens as usize) {
-            run.pace().await;
-            if run.is_over(sent) {
+        for word in words.iter().skip(resumed_words).take(call.max_tokens as usize) {
+            running.wait_for_token().await;
+            if running.is_cut(sent) {
                 yield Err(std::io::Error::other("the engine cut the stream"));
                 return;
             }
-            if run.is_cancelled() {
+            if running.is_cancelled() {
                 break;
             }
             sent += 1;
-            yield Ok(event(&json!({ "choices": [{ "delta": { "content": word } }] })));
+            yield Ok(sse_event(&json!({ "choices": [{ "delta": { "content": word } }] })));
         }
-        if run.is_over(sent) {
+        if running.is_cut(sent) {
             yield Err(std::io::Error::other("the engine cut the stream"));
             return;
         }
-        let finish = if run.is_cancelled() { "cancelled" } else { "stop" };
-        yield Ok(event(&json!({
+        let finish = if running.is_cancelled() { "cancelled" } else { "stop" };
+        yield Ok(sse_event(&json!({
             "choices": [{ "delta": {}, "finish_reason": finish }],
             "usage": { "prompt_tokens": prompt_tokens, "completion_tokens": sent },
         })));
@@ -252,127 +265,129 @@
     })
 }
 
-/// Waits until the batch has room and no stream of a lesser number waits for it.
+/// Waits until the batch has room and this stream is first in the queue.
 async fn wait_for_batch(state: &Shared, priority: u64) {
-    let place = Place::take(state, priority);
-    while !place.may_run() {
+    let entry = QueueEntry::enqueue(state, priority);
+    while !entry.can_start() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// A stream's place among those that wait; given up when it runs or its caller goes away.
-struct Place {
+/// A queued stream. Dropping the entry, on start or on disconnect, removes it from the queue.
+struct QueueEntry {
     state: Shared,
-    place: (u64, u64),
+    queue_key: (u64, u64),
 }
 
-impl Place {
-    fn take(shared: &Shared, priority: u64) -> Place {
-        let mut state = locked(shared);
+impl QueueEntry {
+    fn enqueue(shared: &Shared, priority: u64) -> QueueEntry {
+        let mut state = lock_state(shared);
         state.arrivals += 1;
-        let place = (priority, state.arrivals);
-        state.waiting.insert(place);
-        Place { state: shared.clone(), place }
+        let queue_key = (priority, state.arrivals);
+        state.waiting.insert(queue_key);
+        QueueEntry { state: shared.clone(), queue_key }
     }
 
-    fn may_run(&self) -> bool {
-        let state = locked(&self.state);
-        state.running < state.settings.max_batch && state.waiting.first() == Some(&self.place)
+    fn can_start(&self) -> bool {
+        let state = lock_state(&self.state);
+        state.running < state.settings.max_batch && state.waiting.first() == Some(&self.queue_key)
     }
 }
 
-impl Drop for Place {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
-        locked(&self.state).waiting.remove(&self.place);
+        lock_state(&self.state).waiting.remove(&self.queue_key);
     }
 }
 
-fn event(value: &Value) -> Bytes {
+fn sse_event(value: &Value) -> Bytes {
     Bytes::from(format!("data: {value}\n\n"))
 }
 
-/// The words of the answer: the same for the same conversation.
-fn answer_words(contents: &[String], max_tokens: u64) -> Vec<String> {
+/// Words of the response. Deterministic: the same conversation gives the same words.
+fn response_words(contents: &[String], max_tokens: u64) -> Vec<String> {
     let mut hasher = DefaultHasher::new();
     contents.hash(&mut hasher);
     let first = format!("seen={} digest={:016x} ", contents.len(), hasher.finish());
     let mut words: Vec<String> = first.split_inclusive(' ').map(str::to_string).collect();
-    let wanted = contents.last().and_then(|text| wanted_words(text)).unwrap_or(8);
-    words.extend((1..=wanted.min(max_tokens)).map(|n| format!("word{n} ")));
+    let word_count = contents.last().and_then(|text| requested_word_count(text)).unwrap_or(8);
+    words.extend((1..=word_count.min(max_tokens)).map(|n| format!("word{n} ")));
     words
 }
 
-/// A message may ask for a length, as in `words=40`.
-fn wanted_words(text: &str) -> Option<u64> {
+/// Parses the response length that a message can request, as in `words=40`.
+fn requested_word_count(text: &str) -> Option<u64> {
     let digits = text.split("words=").nth(1)?;
     digits.chars().take_while(char::is_ascii_digit).collect::<String>().parse().ok()
 }
 
-/// One stream that runs in the batch.
-struct Run {
+/// A stream in the running batch.
+struct RunningStream {
     state: Shared,
-    run: u64,
+    instance: u64,
     request_id: String,
     uncached_tokens: u64,
 }
 
-impl Run {
-    fn begin(shared: &Shared, call: &Completion, prompt_tokens: u64) -> Run {
-        let mut state = locked(shared);
-        let cached = state.cache.held(&call.cache_key).min(prompt_tokens);
+impl RunningStream {
+    fn begin(shared: &Shared, call: &Completion, prompt_tokens: u64) -> RunningStream {
+        let mut state = lock_state(shared);
+        let cached = state.cache.cached_tokens(&call.cache_key).min(prompt_tokens);
         let capacity = state.settings.cache_tokens;
         if !call.cache_key.is_empty() {
-            state.cache.hold(&call.cache_key, prompt_tokens + call.max_tokens, capacity);
+            state.cache.insert(&call.cache_key, prompt_tokens + call.max_tokens, capacity);
         }
         state.running += 1;
         state.completions += 1;
         state.prompt_tokens += prompt_tokens;
         state.computed_tokens += prompt_tokens - cached;
-        Run {
+        RunningStream {
             state: shared.clone(),
-            run: state.run,
+            instance: state.instance,
             request_id: call.request_id.clone(),
             uncached_tokens: prompt_tokens - cached,
         }
     }
 
     async fn prefill(&self) {
-        let prefill_us = locked(&self.state).settings.prefill_us * self.uncached_tokens;
+        let prefill_us = lock_state(&self.state).settings.prefill_us * self.uncached_tokens;
         tokio::time::sleep(Duration::from_micros(prefill_us)).await;
     }
 
-    async fn pace(&self) {
+    async fn wait_for_token(&self) {
         let pause_us = {
-            let state = locked(&self.state);
+            let state = lock_state(&self.state);
             state.settings.token_us + state.settings.token_us_per_running * state.running
         };
         tokio::time::sleep(Duration::from_micros(pause_us)).await;
     }
 
-    /// Crashes the engine, unless it has crashed under this stream already.
+    /// Crashes the engine, unless it has already crashed since this stream started.
     fn crash(&self) {
-        let mut state = locked(&self.state);
-        if state.run != self.run {
+        let mut state = lock_state(&self.state);
+        if state.instance != self.instance {
             return;
         }
-        state.run += 1;
+        state.instance += 1;
         state.cache = Cache::default();
         state.down_until = Some(Instant::now() + Duration::from_millis(state.settings.restart_ms));
     }
 
-    fn is_over(&self, sent: u64) -> bool {
-        let state = locked(&self.state);
+    /// Whether to abort the stream: the engine has crashed since it started, or `cut_after_tokens`
+    /// is reached.
+    fn is_cut(&self, sent: u64) -> bool {
+        let state = lock_state(&self.state);
         let cut = state.settings.cut_after_tokens;
-        state.run != self.run || (cut > 0 && sent >= cut)
+        state.instance != self.instance || (cut > 0 && sent >= cut)
     }
 
     fn is_cancelled(&self) -> bool {
-        locked(&self.state).cancelled.contains(&self.request_id)
+        lock_state(&self.state).cancelled.contains(&self.request_id)
     }
 }
 
-impl Drop for Run {
+impl Drop for RunningStream {
     fn drop(&mut self) {
-        locked(&self.state).running -= 1;
+        lock_state(&self.state).running -= 1;
     }
 }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,57 +1,61 @@
 use serde_json::{Value, json};
 
-/// The prefix cache: whole conversations by key, the least recently used evicted first.
+/// Prefix cache of whole conversations by key, with LRU eviction.
 #[derive(Default)]
 pub struct Cache {
-    /// The most recently used last.
+    /// Key and token count, most recently used last.
     entries: Vec<(String, u64)>,
     events: Vec<Value>,
 }
 
 impl Cache {
-    /// Tokens held under a key.
-    pub fn held(&self, key: &str) -> u64 {
-        self.entries.iter().find(|(held, _)| held == key).map_or(0, |(_, tokens)| *tokens)
+    /// Number of tokens cached under `key`.
+    pub fn cached_tokens(&self, key: &str) -> u64 {
+        self.entries
+            .iter()
+            .find(|(cached_key, _)| cached_key == key)
+            .map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Tokens held in all.
+    /// Total number of cached tokens.
     pub fn tokens(&self) -> u64 {
         self.entries.iter().map(|(_, tokens)| tokens).sum()
     }
 
-    /// Holds a conversation, and evicts others until all fit.
-    pub fn hold(&mut self, key: &str, tokens: u64, capacity: u64) {
-        self.entries.retain(|(held, _)| held != key);
+    /// Stores a conversation and evicts the least recently used ones until all fit into `capacity`.
+    /// A conversation that exceeds the capacity by itself stays.
+    pub fn insert(&mut self, key: &str, tokens: u64, capacity: u64) {
+        self.entries.retain(|(cached_key, _)| cached_key != key);
         self.entries.push((key.to_string(), tokens));
-        self.note("stored", key);
+        self.record_event("stored", key);
         while self.tokens() > capacity && self.entries.len() > 1 {
             let (evicted, _) = self.entries.remove(0);
-            self.note("removed", &evicted);
+            self.record_event("removed", &evicted);
         }
     }
 
-    /// Frees a conversation.
+    /// Removes a conversation.
     pub fn free(&mut self, key: &str) {
-        self.entries.retain(|(held, _)| held != key);
-        self.note("removed", key);
+        self.entries.retain(|(cached_key, _)| cached_key != key);
+        self.record_event("removed", key);
     }
 
-    /// All entries.
+    /// Lists all entries as JSON.
     pub fn entries(&self) -> Value {
         let entry = |(key, tokens): &(String, u64)| json!({ "key": key, "tokens": tokens });
         self.entries.iter().map(entry).collect()
     }
 
-    /// Events from a number on. Every tenth is missing, as after an overrun.
+    /// Events numbered `from` and higher. Every tenth is missing, as after a buffer overrun.
     pub fn events(&self, from: u64) -> Value {
-        let shown = |event: &&Value| {
+        let listed = |event: &&Value| {
             let number = event["number"].as_u64().unwrap_or(0);
             number >= from && number % 10 != 9
         };
-        self.events.iter().filter(shown).cloned().collect()
+        self.events.iter().filter(listed).cloned().collect()
     }
 
-    fn note(&mut self, kind: &str, key: &str) {
+    fn record_event(&mut self, kind: &str, key: &str) {
         let number = self.events.len();
         self.events.push(json!({ "number": number, "kind": kind, "key": key }));
     }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts processes and tells them of each other through the list of VMs.
+//! Starts the processes of a deployment and registers them in the VM list.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,12 +14,12 @@
 use crate::http;
 use crate::vm_list::{Vm, VmList};
 
-/// How long a process may take to say where it listens.
+/// Time limit for a process to log its listen addresses, and for a fleet to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process of the system or a stand-in. It is killed when the handle is dropped.
+/// A process of the system or a stand-in. Dropping the handle kills it.
 pub struct Process {
-    /// The name given to it.
+    /// Name that was given at the start.
     pub name: String,
     child: Child,
     addresses: HashMap<String, SocketAddr>,
@@ -27,7 +27,7 @@
 }
 
 impl Process {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it logs its listen addresses.
     pub fn spawn(name: &str, program: &Path, args: &[String]) -> std::io::Result<Process> {
         let mut child = Command::new(program)
             .args(args)
@@ -36,57 +36,63 @@
             .stderr(Stdio::piped())
             .spawn()?;
         let output = Arc::new(Mutex::new(Vec::new()));
-        keep_lines(child.stdout.take(), output.clone());
-        keep_lines(child.stderr.take(), output.clone());
+        collect_output(child.stdout.take(), output.clone());
+        collect_output(child.stderr.take(), output.clone());
         let mut process =
             Process { name: name.to_string(), child, addresses: HashMap::new(), output };
-        process.addresses = process.wait_listening()?;
+        process.addresses = process.wait_until_listening()?;
         Ok(process)
     }
 
-    fn wait_listening(&mut self) -> std::io::Result<HashMap<String, SocketAddr>> {
+    fn wait_until_listening(&mut self) -> std::io::Result<HashMap<String, SocketAddr>> {
         let started = Instant::now();
         while started.elapsed() < START_TIMEOUT {
-            if let Some(addresses) = self.output().iter().find_map(|line| listening(line)) {
+            if let Some(addresses) = self.output().iter().find_map(|line| parse_listening(line)) {
                 return Ok(addresses);
             }
             if let Some(status) = self.child.try_wait()? {
                 let output = self.output().join("\n");
-                let fault = format!("{} ended with {status}: {output}", self.name);
-                return Err(std::io::Error::other(fault));
+                let message = format!(
+                    "{} exited before it logged its listen addresses: {status}; output: {output}",
+                    self.name
+                );
+                return Err(std::io::Error::other(message));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        Err(std::io::Error::other(format!("{} does not listen", self.name)))
+        Err(std::io::Error::other(format!(
+            "{}: no listen addresses logged within {START_TIMEOUT:?}",
+            self.name
+        )))
     }
 
-    /// An address that it listens on.
+    /// Returns the listen address with this name, as in the process's log line.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.addresses[name]
     }
 
-    /// What it has written to standard output and standard error.
+    /// Lines written to standard output and standard error so far.
     pub fn output(&self) -> Vec<String> {
         self.output.lock().expect("not poisoned").clone()
     }
 
-    /// Sends it a signal, as `kill` names it.
+    /// Sends a signal, named as for `kill`.
     pub fn signal(&self, signal: &str) {
         let _ = Command::new("kill").arg(format!("-{signal}")).arg(self.id().to_string()).status();
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it at once.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it ends by itself, up to a limit.
+    /// Waits until the process exits by itself; `None` after `limit`.
     pub fn wait_end(&mut self, limit: Duration) -> Option<ExitStatus> {
         let started = Instant::now();
         while started.elapsed() < limit {
@@ -105,49 +111,52 @@
     }
 }
 
-/// The addresses in a log line that says where a process listens.
-/// Keeps what a process writes, for as long as it writes.
-fn keep_lines(from: Option<impl Read + Send + 'static>, kept: Arc<Mutex<Vec<String>>>) {
+/// Collects the lines that a process writes, until it closes the pipe.
+fn collect_output(from: Option<impl Read + Send + 'static>, output: Arc<Mutex<Vec<String>>>) {
     let lines = from.map(BufReader::new);
     std::thread::spawn(move || {
         for line in lines.into_iter().flat_map(BufRead::lines).map_while(Result::ok) {
-            kept.lock().expect("not poisoned").push(line);
+            output.lock().expect("not poisoned").push(line);
         }
     });
 }
 
-fn listening(line: &str) -> Option<HashMap<String, SocketAddr>> {
+/// Parses the log line in which a process names its listen addresses.
+fn parse_listening(line: &str) -> Option<HashMap<String, SocketAddr>> {
     let line: Value = serde_json::from_str(line).ok()?;
     let addresses = line["listening"].as_str()?;
     let addresses: HashMap<String, String> = serde_json::from_str(addresses).ok()?;
-    let parsed = addresses.into_iter().filter_map(|(name, at)| Some((name, at.parse().ok()?)));
+    let parsed =
+        addresses.into_iter().filter_map(|(name, address)| Some((name, address.parse().ok()?)));
     Some(parsed.collect())
 }
 
-/// The daemons of one deployment.
+/// Entry and endpoint processes of one deployment. Entries accept the calls of programs; an endpoint
+/// process runs beside a model engine or a tool service and passes calls to it.
 pub struct Fleet {
-    /// The programs' folder.
-    programs: PathBuf,
-    /// The list of VMs.
+    /// Folder of the executables.
+    program_dir: PathBuf,
+    /// Address of the VM list.
     pub vm_list: SocketAddr,
-    /// The log.
+    /// Address of the log service.
     pub log: SocketAddr,
-    /// The entries, by name.
+    /// Entry processes by VM name.
     pub entries: HashMap<String, Process>,
-    /// The processes beside endpoints, by name.
+    /// Processes beside endpoints by VM name.
     pub endpoints: HashMap<String, Process>,
+    /// Failure domains by VM name.
     domains: HashMap<String, String>,
-    /// Further flags of every entry.
+    /// Additional flags for each entry that is started.
     pub entry_flags: Vec<String>,
-    /// Further flags of every endpoint.
+    /// Additional flags for each endpoint process that is started.
     pub endpoint_flags: Vec<String>,
 }
 
 impl Fleet {
-    /// A fleet without daemons, whose programs lie in a folder.
-    pub fn new(programs: &Path, log: SocketAddr, vm_list: SocketAddr) -> Fleet {
+    /// Creates a fleet without processes. `program_dir` is the folder of the executables.
+    pub fn new(program_dir: &Path, log: SocketAddr, vm_list: SocketAddr) -> Fleet {
         Fleet {
-            programs: programs.to_path_buf(),
+            program_dir: program_dir.to_path_buf(),
             vm_list,
             log,
             entries: HashMap::new(),
@@ -158,18 +167,19 @@
         }
     }
 
-    /// Starts an entry. It is listed by the next [`Fleet::list`].
+    /// Starts an entry. The next call of [`Fleet::list`] registers it.
     pub fn start_entry(&mut self, vm: &str, domain: &str) -> std::io::Result<()> {
         let mut args = self.common_args("entry", vm, domain);
         args.extend(["--log".to_string(), self.log.to_string()]);
         args.extend(self.entry_flags.clone());
-        let process = Process::spawn(vm, &self.programs.join("trefoilproxyd"), &args)?;
+        let process = Process::spawn(vm, &self.program_dir.join("trefoilproxyd"), &args)?;
         self.entries.insert(vm.to_string(), process);
         self.domains.insert(vm.to_string(), domain.to_string());
         Ok(())
     }
 
-    /// Starts the process beside an endpoint.
+    /// Starts the process beside an endpoint. The next call of [`Fleet::list`] registers it. `kind` is
+    /// `engine` or `service`, `serves` the name of the model or service, `backend` its address.
     pub fn start_endpoint(
         &mut self,
         vm: &str,
@@ -181,7 +191,7 @@
         args.extend(["--serves".to_string(), serves.to_string()]);
         args.extend(["--backend".to_string(), backend.to_string()]);
         args.extend(self.endpoint_flags.clone());
-        let process = Process::spawn(vm, &self.programs.join("trefoilproxyd"), &args)?;
+        let process = Process::spawn(vm, &self.program_dir.join("trefoilproxyd"), &args)?;
         self.endpoints.insert(vm.to_string(), process);
         self.domains.insert(vm.to_string(), domain.to_string());
         Ok(())
@@ -193,7 +203,7 @@
         args.into_iter().map(str::to_string).collect()
     }
 
-    /// Tells the list of VMs which processes there are.
+    /// Replaces the VM list with all processes of this fleet, as live.
     pub async fn list(&self) {
         let entries = self.entries.values().map(|process| ("entry", process));
         let endpoints = self.endpoints.values().map(|process| ("endpoint", process));
@@ -209,20 +219,21 @@
         let _: Option<Value> = http::call(Method::PUT, &url, &list).await;
     }
 
-    /// Where callers reach an entry.
+    /// Address at which an entry accepts calls.
     pub fn callers(&self, vm: &str) -> SocketAddr {
         self.entries[vm].address("callers")
     }
 
-    /// An entry's status.
+    /// Status document of an entry; `None` if it does not respond.
     pub async fn status(&self, vm: &str) -> Option<Value> {
         let url = format!("http://{}/status", self.entries[vm].address("admin"));
         http::call(Method::GET, &url, &()).await
     }
 
-    /// Waits until every entry is ready and has heard of every endpoint.
+    /// Waits until every entry is ready and sees all other processes as live. Returns whether this
+    /// happened within the time limit.
     pub async fn wait_ready(&self) -> bool {
-        let processes = self.endpoints.len() + self.entries.len() - 1;
+        let peer_count = self.endpoints.len() + self.entries.len() - 1;
         let started = Instant::now();
         while started.elapsed() < START_TIMEOUT {
             let mut ready = 0;
@@ -230,7 +241,7 @@
                 let status = self.status(vm).await.unwrap_or_default();
                 let peers = status["peers"].as_array().cloned().unwrap_or_default();
                 let live = peers.iter().filter(|peer| peer["live"] == true).count();
-                ready += usize::from(status["ready"] == true && live >= processes);
+                ready += usize::from(status["ready"] == true && live >= peer_count);
             }
             if ready == self.entries.len() {
                 return true;
@@ -240,9 +251,10 @@
         false
     }
 
-    /// Runs the operators' tool; returns its exit code and what it printed.
+    /// Runs `trefoilctl` with `input` on standard input. Returns its exit code, -1 if a signal ended
+    /// it, and its standard output followed by its standard error.
     pub fn ctl(&self, args: &[&str], input: &str) -> std::io::Result<(i32, String)> {
-        let mut child = Command::new(self.programs.join("trefoilctl"))
+        let mut child = Command::new(self.program_dir.join("trefoilctl"))
             .args(args)
             .env("TREFOIL_LOG", self.log.to_string())
             .env("TREFOIL_VM_LIST", self.vm_list.to_string())
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a small HTTP server and client.
+//! HTTP server and client shared by the stand-ins.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,12 +17,12 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// A response's body.
+/// Response body.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// A running stand-in. It stops when the handle is dropped.
+/// Handle of a running stand-in. Dropping it stops the stand-in.
 pub struct Running {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -34,13 +34,13 @@
 }
 
 impl Running {
-    /// Waits for as long as the stand-in runs.
+    /// Waits until the stand-in stops.
     pub async fn wait(mut self) {
         let _ = (&mut self.task).await;
     }
 }
 
-/// Serves HTTP/1.1 on `address` with one handler.
+/// Serves HTTP/1.1 on `address`, passing every request to `handler`.
 pub async fn serve<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Running>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -67,21 +67,21 @@
     Ok(Running { address, task })
 }
 
-/// A JSON response.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(whole(bytes));
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     response
 }
 
-/// A body that is known at once.
-pub fn whole(bytes: Vec<u8>) -> Body {
+/// Builds a body from bytes that are available in full.
+pub fn full_body(bytes: Vec<u8>) -> Body {
     Full::new(Bytes::from(bytes)).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// A body that is sent as it comes; an error cuts the connection.
-pub fn streamed<S>(stream: S) -> Response<Body>
+/// Builds a response that streams its body. An error in the stream closes the connection.
+pub fn streaming_response<S>(stream: S) -> Response<Body>
 where
     S: Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync + 'static,
 {
@@ -89,20 +89,21 @@
     Response::new(BodyExt::boxed(StreamBody::new(stream.map(|part| part.map(Frame::data)))))
 }
 
-/// Reads a JSON body.
+/// Reads a JSON body; `None` if it is incomplete or does not match `T`.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
     let bytes = request.into_body().collect().await.ok()?.to_bytes();
     serde_json::from_slice(&bytes).ok()
 }
 
-/// A query parameter that is a number.
+/// Returns a numeric query parameter.
 pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-/// Calls a stand-in with a JSON body and reads its JSON answer.
+/// Sends a request with a JSON body and returns the JSON response, whatever its status. `None` if
+/// there is no response or it does not match `A`.
 pub async fn call<B: Serialize, A: DeserializeOwned>(
     method: Method,
     url: &str,
@@ -110,7 +111,7 @@
 ) -> Option<A> {
     let client = hyper_util::client::legacy::Client::builder(TokioExecutor::new()).build_http();
     let bytes = serde_json::to_vec(body).ok()?;
-    let request = Request::builder().method(method).uri(url).body(whole(bytes)).ok()?;
+    let request = Request::builder().method(method).uri(url).body(full_body(bytes)).ok()?;
     let response = client.request(request).await.ok()?;
     let bytes = response.into_body().collect().await.ok()?.to_bytes();
     serde_json::from_slice(&bytes).ok()
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,5 +1,6 @@
-//! Small stand-ins for the systems that trefoilproxy meets: the platform's log, its list of VMs,
-//! a model engine and a tool service. Each has a `/control` call that switches faults on and off.
+//! Stand-ins for the systems that trefoilproxy depends on: the platform's log service, its VM list,
+//! a model engine and a tool service. All but the VM list take faults over `/control`.
+//! [`caller`] is a client of the proxy, and [`fleet`] starts the proxy's own processes.
 
 pub mod caller;
 pub mod engine;
--- a/standins/src/log_service.rs
+++ b/standins/src/log_service.rs
@@ -1,5 +1,5 @@
-//! The platform's log: streams of records with offsets, limited retention, outages, slowness and
-//! answers lost after the effect.
+//! Stand-in for the platform's log service: streams of records with offsets and limited retention.
+//! It can simulate outages, slow responses, and responses lost after the append took effect.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
 
 use crate::http::{self, Body, Running};
 
-/// Faults that the control call sets. Absent fields stay as they are.
+/// Faults set over `/control`. Fields that are absent keep their value.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Faults {
-    /// Refuse everything with 503.
+    /// Rejects every append and read with status 503.
     pub outage: Option<bool>,
-    /// Delay of every answer.
+    /// Delay before each append or read is processed.
     pub slow_ms: Option<u64>,
-    /// How many of the next appends take effect but are not answered.
+    /// Number of upcoming appends that take effect but whose response is withheld.
     pub lose_answers: Option<u32>,
-    /// Keep only this many records of each stream.
+    /// Retains only this many records per stream.
     pub retain_records: Option<usize>,
 }
 
-/// A record as it is read.
+/// A record as returned to readers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Stored {
-    /// Its offset, from 1.
+pub struct StoredRecord {
+    /// Position in the stream, starting at 1.
     pub offset: u64,
-    /// When it was taken.
+    /// Unix time of the append.
     pub time_ms: u64,
-    /// What was appended.
+    /// Appended payload.
     pub data: Value,
 }
 
@@ -45,9 +45,9 @@
 
 #[derive(Default)]
 struct Stream {
-    /// Offset of the first record that is still held.
+    /// Offset of the oldest retained record; 0 before the first append.
     earliest: u64,
-    records: Vec<Stored>,
+    records: Vec<StoredRecord>,
 }
 
 #[derive(Default)]
@@ -59,24 +59,24 @@
     bytes: u64,
 }
 
-/// Counters that the control call returns.
+/// Counters returned by `GET /control`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counters {
-    /// Appends taken.
+    /// Append requests applied.
     pub appends: u64,
-    /// Records taken.
+    /// Records appended.
     pub records: u64,
-    /// Bytes of records taken.
+    /// Size of the appended records as JSON, in bytes.
     pub bytes: u64,
 }
 
 #[derive(Clone, Default)]
 struct Service {
     state: Arc<Mutex<State>>,
-    grown: Arc<Notify>,
+    appended: Arc<Notify>,
 }
 
-/// Starts the log.
+/// Starts the log service.
 pub async fn spawn(address: SocketAddr) -> std::io::Result<Running> {
     let service = Service::default();
     http::serve(address, move |request| {
@@ -101,16 +101,16 @@
     }
 
     async fn control(&self, request: Request<Incoming>) -> Response<Body> {
-        let Some(new) = http::read_json::<Faults>(request).await else {
+        let Some(changes) = http::read_json::<Faults>(request).await else {
             return http::json(StatusCode::BAD_REQUEST, &"not a set of faults");
         };
         let mut state = self.state.lock().expect("not poisoned");
         let faults = &mut state.faults;
-        faults.outage = new.outage.or(faults.outage);
-        faults.slow_ms = new.slow_ms.or(faults.slow_ms);
-        faults.lose_answers = new.lose_answers.or(faults.lose_answers);
-        faults.retain_records = new.retain_records.or(faults.retain_records);
-        state.expire();
+        faults.outage = changes.outage.or(faults.outage);
+        faults.slow_ms = changes.slow_ms.or(faults.slow_ms);
+        faults.lose_answers = changes.lose_answers.or(faults.lose_answers);
+        faults.retain_records = changes.retain_records.or(faults.retain_records);
+        state.enforce_retention();
         http::json(StatusCode::OK, &"done")
     }
 
@@ -119,54 +119,54 @@
         Counters { appends: state.appends, records: state.records, bytes: state.bytes }
     }
 
-    async fn slow(&self) {
+    async fn delay_request(&self) {
         let slow_ms = self.state.lock().expect("not poisoned").faults.slow_ms.unwrap_or(0);
         if slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(slow_ms)).await;
         }
     }
 
-    fn out(&self) -> bool {
+    fn in_outage(&self) -> bool {
         self.state.lock().expect("not poisoned").faults.outage.unwrap_or(false)
     }
 
     async fn append(&self, name: &str, request: Request<Incoming>) -> Response<Body> {
-        self.slow().await;
-        if self.out() {
+        self.delay_request().await;
+        if self.in_outage() {
             return http::json(StatusCode::SERVICE_UNAVAILABLE, &"outage");
         }
         let Some(body) = http::read_json::<AppendBody>(request).await else {
             return http::json(StatusCode::BAD_REQUEST, &"not a batch of records");
         };
-        let (first, time_ms, lost) = {
+        let (first_offset, time_ms, withhold) = {
             let mut state = self.state.lock().expect("not poisoned");
-            let (first, time_ms) = state.append(name, body.records);
-            (first, time_ms, state.lose_answer())
+            let (first_offset, time_ms) = state.append(name, body.records);
+            (first_offset, time_ms, state.take_lost_answer())
         };
-        self.grown.notify_waiters();
-        if lost {
-            // Long enough for any client to give up; the effect stands.
+        self.appended.notify_waiters();
+        if withhold {
+            // Longer than any client timeout; the append has taken effect.
             tokio::time::sleep(Duration::from_secs(60)).await;
         }
         http::json(
             StatusCode::OK,
-            &serde_json::json!({ "first_offset": first, "time_ms": time_ms }),
+            &serde_json::json!({ "first_offset": first_offset, "time_ms": time_ms }),
         )
     }
 
     async fn read(&self, name: &str, request: Request<Incoming>) -> Response<Body> {
-        self.slow().await;
-        if self.out() {
+        self.delay_request().await;
+        if self.in_outage() {
             return http::json(StatusCode::SERVICE_UNAVAILABLE, &"outage");
         }
         let from = http::query_number(&request, "from").unwrap_or(0);
         let limit = http::query_number(&request, "limit").unwrap_or(1_000) as usize;
         let wait_ms = http::query_number(&request, "wait_ms").unwrap_or(0);
-        let grown = self.grown.notified();
-        let mut page = self.state.lock().expect("not poisoned").page(name, from, limit);
+        let appended = self.appended.notified();
+        let mut page = self.state.lock().expect("not poisoned").read_page(name, from, limit);
         if page.records.is_empty() && wait_ms > 0 {
-            let _ = tokio::time::timeout(Duration::from_millis(wait_ms), grown).await;
-            page = self.state.lock().expect("not poisoned").page(name, from, limit);
+            let _ = tokio::time::timeout(Duration::from_millis(wait_ms), appended).await;
+            page = self.state.lock().expect("not poisoned").read_page(name, from, limit);
         }
         http::json(StatusCode::OK, &page)
     }
@@ -176,7 +176,7 @@
 struct Page {
     earliest_offset: u64,
     next_offset: u64,
-    records: Vec<Stored>,
+    records: Vec<StoredRecord>,
 }
 
 impl State {
@@ -186,43 +186,45 @@
         self.records += records.len() as u64;
         self.bytes += records.iter().map(|record| record.to_string().len() as u64).sum::<u64>();
         let stream = self.streams.entry(name.to_string()).or_default();
-        let first = stream.earliest.max(1) + stream.records.len() as u64;
+        let first_offset = stream.earliest.max(1) + stream.records.len() as u64;
         stream.earliest = stream.earliest.max(1);
-        let stored = records.into_iter().zip(first..);
-        stream.records.extend(stored.map(|(data, offset)| Stored { offset, time_ms, data }));
-        self.expire();
-        (first, time_ms)
+        let stored = records.into_iter().zip(first_offset..);
+        stream.records.extend(stored.map(|(data, offset)| StoredRecord { offset, time_ms, data }));
+        self.enforce_retention();
+        (first_offset, time_ms)
     }
 
-    fn expire(&mut self) {
-        let Some(keep) = self.faults.retain_records else {
+    fn enforce_retention(&mut self) {
+        let Some(max_records) = self.faults.retain_records else {
             return;
         };
         for stream in self.streams.values_mut() {
-            let over = stream.records.len().saturating_sub(keep);
-            stream.records.drain(..over);
-            stream.earliest += over as u64;
+            let excess = stream.records.len().saturating_sub(max_records);
+            stream.records.drain(..excess);
+            stream.earliest += excess as u64;
         }
     }
 
-    fn lose_answer(&mut self) -> bool {
+    /// Whether to withhold the response to this append; uses up one of `lose_answers`.
+    fn take_lost_answer(&mut self) -> bool {
         let left = self.faults.lose_answers.unwrap_or(0);
         self.faults.lose_answers = Some(left.saturating_sub(1));
         left > 0
     }
 
-    fn page(&self, name: &str, from: u64, limit: usize) -> Page {
+    fn read_page(&self, name: &str, from: u64, limit: usize) -> Page {
         let Some(stream) = self.streams.get(name) else {
             return Page { earliest_offset: 1, next_offset: 1, records: Vec::new() };
         };
         let skip = from.saturating_sub(stream.earliest) as usize;
-        let records: Vec<Stored> = stream.records.iter().skip(skip).take(limit).cloned().collect();
+        let records: Vec<StoredRecord> =
+            stream.records.iter().skip(skip).take(limit).cloned().collect();
         let end = stream.earliest + stream.records.len() as u64;
         Page { earliest_offset: stream.earliest, next_offset: end, records }
     }
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |passed| passed.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/standins/src/tool_service.rs
+++ b/standins/src/tool_service.rs
@@ -1,4 +1,5 @@
-//! A plain service with actions, some of which must not be repeated. It counts what it ran.
+//! Stand-in for a tool service. It records every action that it ran, so that tests can detect
+//! repeated execution of actions that must run at most once.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,24 +12,24 @@
 
 use crate::http::{self, Body, Running};
 
-/// What the control call sets and returns.
+/// Settings and records exchanged over `/control`. A POST changes only `hang` and `slow_ms`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Control {
-    /// Whether calls run but are never answered.
+    /// Whether actions run but their response is withheld for 10 minutes.
     #[serde(default)]
     pub hang: bool,
-    /// Time that a call takes.
+    /// Duration of each action.
     #[serde(default)]
     pub slow_ms: u64,
-    /// Every call that ran: its action and body.
+    /// Action and body of every request that ran.
     #[serde(default)]
     pub ran: Vec<(String, String)>,
-    /// Authorization headers seen; there must be none.
+    /// Authorization headers received. The proxy must not forward any.
     #[serde(default)]
     pub authorizations: Vec<String>,
 }
 
-/// Starts the service.
+/// Starts the tool service.
 pub async fn spawn(address: SocketAddr) -> std::io::Result<Running> {
     let state = Arc::new(Mutex::new(Control::default()));
     http::serve(address, move |request| {
@@ -42,12 +43,12 @@
     let path = request.uri().path().trim_start_matches('/').to_string();
     if path == "control" {
         if request.method() == Method::POST {
-            let Some(new) = http::read_json::<Control>(request).await else {
+            let Some(update) = http::read_json::<Control>(request).await else {
                 return http::json(StatusCode::BAD_REQUEST, &"not a control call");
             };
             let mut state = state.lock().expect("not poisoned");
-            state.hang = new.hang;
-            state.slow_ms = new.slow_ms;
+            state.hang = update.hang;
+            state.slow_ms = update.slow_ms;
         }
         return http::json(StatusCode::OK, &*state.lock().expect("not poisoned"));
     }
--- a/standins/src/vm_list.rs
+++ b/standins/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving VMs. It shows changes after a lag.
+//! Stand-in for the platform's list of live and leaving VMs. Changes become visible after a delay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,38 +10,39 @@
 
 use crate::http::{self, Body, Running};
 
-/// One VM.
+/// A VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
     /// `entry` or `endpoint`.
     pub role: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Where its process listens for the others.
+    /// Address on which the VM's process listens for its peers.
     pub address: SocketAddr,
     /// `live` or `leaving`.
     pub state: String,
 }
 
-/// The list, and how late it shows a change.
+/// The VM list with the delay after which it becomes visible.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct VmList {
-    /// The VMs.
+    /// Listed VMs.
     pub vms: Vec<Vm>,
-    /// The lag of this change.
+    /// Delay before this version of the list becomes visible.
     #[serde(default)]
     pub lag_ms: u64,
 }
 
 #[derive(Default)]
 struct State {
-    shown: VmList,
-    next: Option<(Instant, VmList)>,
+    published: VmList,
+    /// Next version of the list and the time at which it becomes visible. A later PUT replaces it.
+    pending: Option<(Instant, VmList)>,
 }
 
-/// Starts the list.
+/// Starts the VM list service.
 pub async fn spawn(address: SocketAddr) -> std::io::Result<Running> {
     let state = Arc::new(Mutex::new(State::default()));
     http::serve(address, move |request| {
@@ -57,13 +58,13 @@
             return http::json(StatusCode::BAD_REQUEST, &"not a list of VMs");
         };
         let due = Instant::now() + Duration::from_millis(list.lag_ms);
-        state.lock().expect("not poisoned").next = Some((due, list));
+        state.lock().expect("not poisoned").pending = Some((due, list));
     }
     let mut state = state.lock().expect("not poisoned");
-    if state.next.as_ref().is_some_and(|(due, _)| *due <= Instant::now())
-        && let Some((_, list)) = state.next.take()
+    if state.pending.as_ref().is_some_and(|(due, _)| *due <= Instant::now())
+        && let Some((_, list)) = state.pending.take()
     {
-        state.shown = list;
+        state.published = list;
     }
-    http::json(StatusCode::OK, &state.shown)
+    http::json(StatusCode::OK, &state.published)
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,18 +1,18 @@
-//! Kills, freezes and crashes of real processes, as callers see them.
+//! What callers observe when processes are stopped, killed or frozen, or crash.
 
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{Deployment, PATIENCE, control, eventually, wait_running};
+use common::{Deployment, TEST_TIMEOUT, configure_stand_in, eventually, wait_running};
 use serde_json::json;
 use trefoil_standins::caller::{Answer, action, completion};
 use trefoil_standins::engine::Settings;
 
-/// An entry is told to stop while answers stream through it. It takes no new calls, sends every
-/// answer to its end and hands its shards over; the programs go on through the other entry.
+/// An entry gets SIGTERM while answers stream through it. It accepts no new calls, completes every
+/// answer and hands its shards over; the programs continue through the other entry.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopping_an_entry_cuts_no_call() {
+async fn stopping_an_entry_interrupts_no_call() {
     let mut deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
@@ -25,12 +25,12 @@
         .collect();
     wait_running(&deployment, 16).await;
     deployment.fleet.entries["e0"].signal("TERM");
-    for run in running {
-        let answer = run.await.unwrap();
+    for task in running {
+        let answer = task.await.unwrap();
         assert!(answer.text().ends_with("word60 "), "{answer:?}");
     }
-    let ended = deployment.fleet.entries.get_mut("e0").unwrap().wait_end(PATIENCE);
-    assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
+    let exit_status = deployment.fleet.entries.get_mut("e0").unwrap().wait_end(TEST_TIMEOUT);
+    assert!(exit_status.is_some_and(|status| status.success()), "{exit_status:?}");
     for number in 0..16 {
         let call = completion(&format!("s{number}"), 2, "on");
         let answer = caller.insist(&entries[1..], &call, 5).await;
@@ -38,10 +38,10 @@
     }
 }
 
-/// The process beside an endpoint is told to stop. What it runs is finished, new work goes to
-/// the other endpoint, and the platform's list has not said a word yet.
+/// The process beside an endpoint gets SIGTERM. It finishes the calls that it runs, and new calls
+/// go to the other endpoint although the VM list still contains the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn stopping_the_process_beside_an_endpoint_cuts_no_call() {
+async fn stopping_the_process_beside_an_endpoint_interrupts_no_call() {
     let mut deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
@@ -58,25 +58,26 @@
         let answer = caller.call(entries[0], &completion(&format!("n{number}"), 1, "new")).await;
         assert!(matches!(answer, Answer::Whole(_)), "{answer:?}");
     }
-    for run in running {
-        let answer = run.await.unwrap();
+    for task in running {
+        let answer = task.await.unwrap();
         assert!(answer.text().ends_with("word60 "), "{answer:?}");
     }
-    let ended = deployment.fleet.endpoints.get_mut("m0").unwrap().wait_end(PATIENCE);
-    assert!(ended.is_some_and(|status| status.success()), "{ended:?}");
+    let exit_status = deployment.fleet.endpoints.get_mut("m0").unwrap().wait_end(TEST_TIMEOUT);
+    assert!(exit_status.is_some_and(|status| status.success()), "{exit_status:?}");
 }
 
-/// An owner is frozen with a payment dispatched, long enough for the other entry to take over
-/// and answer the repeat. Then it wakes up and goes on as if nothing had happened. The payment
-/// has been made once, and the repeat never says that it was not.
+/// An owner, the entry that holds the shards of some programs, is frozen while their payments run,
+/// until the other entry has claimed the shards and answered the retries; then it resumes with
+/// outdated state. Each payment must be made exactly once, and neither the original calls nor the
+/// retries may be answered that it was not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment_is_made_once_though_its_owner_was_frozen_past_the_takeover() {
+async fn a_payment_is_made_once_when_its_owner_is_frozen_until_after_a_takeover() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
-    control(deployment.tools.address, &json!({ "slow_ms": 400 })).await;
+    configure_stand_in(deployment.tools.address, &json!({ "slow_ms": 400 })).await;
     let names: Vec<String> = (0..10).map(|number| format!("f{number}")).collect();
-    let first: Vec<_> = names
+    let first_calls: Vec<_> = names
         .iter()
         .map(|name| {
             let (caller, entry) = (caller.clone(), entries[1]);
@@ -84,18 +85,21 @@
             tokio::spawn(async move { caller.call(entry, &call).await })
         })
         .collect();
-    eventually("the payments", || async { deployment.payments().await.len() == 10 }).await;
+    eventually("ten payments at the tool service", || async {
+        deployment.payments().await.len() == 10
+    })
+    .await;
     deployment.fleet.entries["e1"].signal("STOP");
     for name in &names {
         let call = action(name, 1, "tools/pay", json!({ "program": name }));
         let answer = caller.insist(&entries[..1], &call, 20).await;
-        let fine = matches!(&answer, Answer::Whole(_))
+        let outcome_is_truthful = matches!(&answer, Answer::Whole(_))
             || matches!(&answer, Answer::Error { ran, .. } if ran == "unknown");
-        assert!(fine, "{name}: {answer:?}");
+        assert!(outcome_is_truthful, "{name}: {answer:?}");
     }
     deployment.fleet.entries["e1"].signal("CONT");
-    for run in first {
-        let answer = run.await.unwrap();
+    for task in first_calls {
+        let answer = task.await.unwrap();
         assert!(!matches!(&answer, Answer::Error { ran, .. } if ran == "not_run"), "{answer:?}");
     }
     let mut paid = deployment.payments().await;
@@ -104,36 +108,39 @@
     assert_eq!((paid.len(), deployment.payments().await.len()), (10, 10));
 }
 
-/// The process beside the service is killed while a payment runs there. Nobody can know whether
-/// it was made: the caller is told so at once, and on every repeat, and it is not made again.
+/// The process beside the service is killed while a payment runs there, so its outcome is unknown.
+/// The caller gets `outcome_unknown` at once and on every retry, and the payment is not repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment_whose_process_died_is_not_made_again() {
+async fn a_payment_is_not_repeated_after_the_process_beside_its_service_was_killed() {
     let mut deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
-    control(deployment.tools.address, &json!({ "hang": true })).await;
+    configure_stand_in(deployment.tools.address, &json!({ "hang": true })).await;
     let call = action("k", 1, "tools/pay", json!({ "n": 1 }));
-    let paying = {
+    let first_call = {
         let (caller, entry, call) = (caller.clone(), entries[0], call.clone());
         tokio::spawn(async move { caller.call(entry, &call).await })
     };
-    eventually("the payment", || async { !deployment.payments().await.is_empty() }).await;
+    eventually("the payment at the tool service", || async {
+        !deployment.payments().await.is_empty()
+    })
+    .await;
     deployment.fleet.endpoints.get_mut("t0").unwrap().kill();
     let tools = deployment.tools.address;
     deployment.fleet.start_endpoint("t0", "a", ("service", "tools", tools)).unwrap();
     deployment.fleet.list().await;
-    control(deployment.tools.address, &json!({ "hang": false })).await;
-    let told = paying.await.unwrap();
-    assert_eq!(told.code(), "outcome_unknown", "{told:?}");
-    let again = caller.call(entries[1], &call).await;
-    assert_eq!(again.code(), "outcome_unknown", "{again:?}");
+    configure_stand_in(deployment.tools.address, &json!({ "hang": false })).await;
+    let first_answer = first_call.await.unwrap();
+    assert_eq!(first_answer.code(), "outcome_unknown", "{first_answer:?}");
+    let retried = caller.call(entries[1], &call).await;
+    assert_eq!(retried.code(), "outcome_unknown", "{retried:?}");
     assert_eq!(deployment.payments().await.len(), 1);
 }
 
-/// An engine cuts every stream after five tokens. The caller sees one answer all the same: each
-/// attempt goes on from the end of the text before it.
+/// Engines close every stream after five tokens. The caller still gets one complete answer: each
+/// attempt continues from the end of the text received before it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_whole_though_the_engine_cuts_the_stream() {
+async fn an_answer_is_complete_although_the_engine_closes_its_streams_early() {
     let settings = Settings { cut_after_tokens: 5, ..Settings::default() };
     let deployment = Deployment::start_with(settings, &[], &[]).await;
     let entries = deployment.entries();
@@ -142,10 +149,10 @@
     assert_eq!(answer.text().matches("word3 ").count(), 1, "{answer:?}");
 }
 
-/// A program ends; a little later no engine holds anything for it. Another is abandoned by its
-/// caller: its lease runs out.
+/// Engines free their cache for programs that their callers end, and, when the cache lease expires,
+/// for programs that their callers abandon.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_hold_nothing_for_programs_that_are_over() {
+async fn engines_free_their_cache_for_ended_and_abandoned_programs() {
     let flags = ["--cache-lease-ms", "700"];
     let deployment = Deployment::start_with(Settings::default(), &[], &flags).await;
     let entries = deployment.entries();
@@ -156,7 +163,7 @@
     for number in 0..3 {
         caller.end(entries[1], &format!("e{number}")).await;
     }
-    eventually("empty engines", || async {
+    eventually("empty engine caches", || async {
         let mut held = 0;
         for engine in &deployment.engines {
             let cached = common::get(engine.address, "/cache").await;
@@ -169,16 +176,16 @@
     assert_eq!(resent.code(), "program_ended");
 }
 
-/// Three callers send the same call at once, through different entries, and it crashes every
-/// engine that runs it. Innocent calls run beside it. At most two engines crash in the whole
-/// fleet; each of the three gets its final answer at once, and so does a resend after the entries
-/// that knew were replaced. The innocent calls finish.
+/// Three programs send the same content concurrently through the two entries, and it crashes every
+/// engine that runs it. At most two engines may crash in the whole fleet. Each of the three calls
+/// gets `crashes_endpoints`, and so does a retry after both entries were replaced and their memory
+/// is lost. Other calls that run at the same time complete.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_crashes_engines_is_given_up_on_after_two() {
+async fn a_call_that_crashes_engines_is_refused_after_two_crashes() {
     let mut deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
-    let innocent: Vec<_> = (0..6)
+    let other_calls: Vec<_> = (0..6)
         .map(|number| {
             let (caller, entries) = (caller.clone(), entries.clone());
             let call = completion(&format!("i{number}"), 1, "words=60");
@@ -186,20 +193,20 @@
         })
         .collect();
     wait_running(&deployment, 6).await;
-    let crash = |number: usize| completion(&format!("x{number}"), 1, "please crash-engine");
-    let guilty: Vec<_> = (0..3)
+    let crashing_call = |number: usize| completion(&format!("x{number}"), 1, "please crash-engine");
+    let crashing_calls: Vec<_> = (0..3)
         .map(|number| {
             let (caller, entry) = (caller.clone(), entries[number % 2]);
-            let call = crash(number);
+            let call = crashing_call(number);
             tokio::spawn(async move { caller.call(entry, &call).await })
         })
         .collect();
-    for run in guilty {
-        let answer = run.await.unwrap();
+    for task in crashing_calls {
+        let answer = task.await.unwrap();
         assert_eq!(answer.code(), "crashes_endpoints", "{answer:?}");
     }
-    for run in innocent {
-        let answer = run.await.unwrap();
+    for task in other_calls {
+        let answer = task.await.unwrap();
         assert!(answer.text().ends_with("word60 "), "{answer:?}");
     }
     for vm in ["e0", "e1"] {
@@ -209,8 +216,9 @@
         deployment.fleet.list().await;
         assert!(deployment.fleet.wait_ready().await);
     }
-    let again = caller.insist(&deployment.entries(), &crash(9), 10).await;
-    assert_eq!(again.code(), "crashes_endpoints", "{again:?}");
+    let retried = caller.insist(&deployment.entries(), &crashing_call(9), 10).await;
+    assert_eq!(retried.code(), "crashes_endpoints", "{retried:?}");
+    // `run` counts the starts of an engine; each start after the first follows a crash.
     let mut crashes = 0;
     for engine in &deployment.engines {
         crashes += common::get(engine.address, "/control").await["run"].as_u64().unwrap() - 1;
@@ -218,11 +226,10 @@
     assert!(crashes <= 2, "{crashes} engines crashed");
 }
 
-/// The owner is killed while its answers stream through another entry. No part of an answer
-/// passes for the whole: the caller gets an error, or a cut, and the same call again gives the
-/// whole answer.
+/// The owner is killed while its answers stream through another entry. A truncated answer must not
+/// look complete: the caller gets an error or a broken stream, and a retry gets the complete answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_cut_by_its_owners_death_never_passes_for_whole() {
+async fn an_answer_truncated_by_its_owners_death_does_not_look_complete() {
     let mut deployment = Deployment::start().await;
     let entry = deployment.entries()[0];
     let caller = deployment.caller();
@@ -236,8 +243,8 @@
     wait_running(&deployment, 16).await;
     deployment.fleet.entries.get_mut("e1").unwrap().kill();
     let mut lost = 0;
-    for run in streaming {
-        match run.await.unwrap() {
+    for task in streaming {
+        match task.await.unwrap() {
             Answer::Whole(text) => assert!(text.ends_with("word60 "), "{text}"),
             Answer::Error { code, ran, retry_after_ms, .. } => {
                 assert_eq!((code.as_str(), ran.as_str()), ("owner_lost", "unknown"));
@@ -247,7 +254,7 @@
             Answer::Cut => lost += 1,
         }
     }
-    assert!(lost > 0, "no program was owned by the entry that was killed");
+    assert!(lost > 0, "the killed entry owned no program");
     for number in 0..16 {
         let answer = caller.insist(&[entry], &call(number), 20).await;
         assert!(answer.text().ends_with("word60 "), "{answer:?}");
--- a/tests/outages.rs
+++ b/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Outages of the log and withdrawn keys over real processes, as callers see them.
+//! What callers observe during outages of the log and after keys are revoked.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,10 +11,10 @@
 use trefoil_standins::caller::{Answer, Caller, completion};
 use trefoil_standins::engine::Settings;
 
-/// A key is revoked while an answer streams to its caller. The stream ends with an error, not as
-/// if it were whole, and new calls are refused on every entry.
+/// A key is revoked while an answer streams to its caller. The stream ends with an error instead of
+/// looking complete, and every entry refuses new calls with the key.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_revoked_key_ends_open_streams_and_lets_nobody_in() {
+async fn revoking_a_key_ends_its_streams_and_refuses_its_calls() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
     let key = "key-to-be-revoked-55";
@@ -27,8 +27,8 @@
         tokio::spawn(async move { caller.call(entry, &call).await })
     };
     wait_running(&deployment, 1).await;
-    let (code, said) = deployment.fleet.ctl(&["revoke", "ice", "second", "--wait"], "").unwrap();
-    assert_eq!(code, 0, "{said}");
+    let (code, output) = deployment.fleet.ctl(&["revoke", "ice", "second", "--wait"], "").unwrap();
+    assert_eq!(code, 0, "{output}");
     assert_eq!(streaming.await.unwrap().code(), "key_withdrawn");
     for entry in &entries {
         let answer = caller.call(*entry, &completion("r2", 1, "x")).await;
@@ -38,10 +38,10 @@
     assert!(matches!(other, Answer::Whole(_)), "{other:?}");
 }
 
-/// The log goes out. New turns are refused at once as not run, with a time to come back, and
-/// once it is back the programs go on with their histories.
+/// The log is unavailable. New turns are refused as `not_run` with a retry time, and once the log is
+/// available again the programs continue with their histories.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_log_refuses_truthfully_and_loses_nothing() {
+async fn turns_are_refused_as_not_run_in_a_log_outage_and_no_history_is_lost() {
     let deployment =
         Deployment::start_with(Settings::default(), &["--config-stale-ms", "60000"], &[]).await;
     let entries = deployment.entries();
@@ -50,7 +50,7 @@
     for name in &names {
         caller.call(entries[0], &completion(name, 1, "before")).await;
     }
-    deployment.fault_log(json!({ "outage": true })).await;
+    deployment.set_log_faults(json!({ "outage": true })).await;
     for name in &names {
         let mut call = completion(name, 2, "during");
         call.deadline_ms = 1_500;
@@ -61,17 +61,17 @@
         assert_eq!(ran, "not_run", "{answer:?}");
         assert!(retry_after_ms.is_some(), "{answer:?}");
     }
-    deployment.fault_log(json!({ "outage": false })).await;
+    deployment.set_log_faults(json!({ "outage": false })).await;
     for name in &names {
         let answer = caller.insist(&entries, &completion(name, 2, "during"), 20).await;
         assert!(answer.text().starts_with("seen=3 "), "{answer:?}");
     }
 }
 
-/// An entry is frozen while a key is revoked. When it wakes up it has an old configuration, and
-/// knows by its clock that it may be old: the key is not let in there either.
+/// An entry is frozen while a key is revoked. When it resumes, its configuration is outdated, and its
+/// clock shows that the configuration was unconfirmed for too long: it refuses the key too.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_revoked_while_an_entry_was_frozen_is_not_let_in_there() {
+async fn a_resumed_entry_refuses_a_key_that_was_revoked_while_it_was_frozen() {
     let flags = ["--config-stale-ms", "700"];
     let deployment = Deployment::start_with(Settings::default(), &flags, &[]).await;
     let key = "key-to-be-revoked-77";
@@ -80,25 +80,26 @@
     let entry = deployment.entries()[1];
     assert!(matches!(caller.call(entry, &completion("z", 1, "x")).await, Answer::Whole(_)));
     deployment.fleet.entries["e1"].signal("STOP");
-    let (code, said) = deployment.fleet.ctl(&["revoke", "ice", "second"], "").unwrap();
-    assert_eq!(code, 0, "{said}");
-    // Longer than a configuration may go unconfirmed.
+    let (code, output) = deployment.fleet.ctl(&["revoke", "ice", "second"], "").unwrap();
+    assert_eq!(code, 0, "{output}");
+    // Longer than `--config-stale-ms`.
     tokio::time::sleep(Duration::from_millis(900)).await;
     deployment.fleet.entries["e1"].signal("CONT");
     let answer = caller.call(entry, &completion("z", 2, "x")).await;
     assert!(["not_ready", "bad_key"].contains(&answer.code()), "{answer:?}");
-    eventually("the refusal of the key", || async {
+    eventually("a refusal of the key", || async {
         caller.call(entry, &completion("z", 2, "x")).await.code() == "bad_key"
     })
     .await;
 }
 
-/// The log is out and an entry is replaced. It takes the configuration from its peer, so that it
-/// knows keys and refuses truthfully, and serves once the log is back.
+/// An entry is replaced while the log is unavailable. It copies the configuration from its peer, so it
+/// authenticates keys and refuses known ones with `log_unavailable`; it serves them once the log is
+/// available again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_started_in_an_outage_takes_its_peers_configuration() {
+async fn an_entry_started_in_a_log_outage_copies_its_peers_configuration() {
     let mut deployment = Deployment::start().await;
-    deployment.fault_log(json!({ "outage": true })).await;
+    deployment.set_log_faults(json!({ "outage": true })).await;
     deployment.fleet.entries.get_mut("e1").unwrap().kill();
     deployment.fleet.start_entry("e1", "b").unwrap();
     deployment.fleet.list().await;
@@ -109,24 +110,24 @@
     let unknown =
         Caller::new("key-that-nobody-granted").call(entry, &completion("y", 1, "x")).await;
     assert_eq!(unknown.code(), "bad_key");
-    deployment.fault_log(json!({ "outage": false })).await;
+    deployment.set_log_faults(json!({ "outage": false })).await;
     let entries = [entry];
     let served = deployment.caller().insist(&entries, &completion("y", 1, "x"), 20).await;
     assert!(matches!(served, Answer::Whole(_)), "{served:?}");
 }
 
-/// The operator has chosen to let calls wait for the log. A call that comes in an outage is not
-/// refused: it is answered once the log is back. One whose deadline passes first is told,
-/// truthfully, that it was not run.
+/// With `--when-log-fails wait`, a call that arrives while the log is unavailable is not refused but
+/// answered once the log is available again. A call whose deadline passes first is refused as
+/// `not_run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_wait_for_the_log_where_the_operator_says_so() {
+async fn calls_wait_for_the_log_with_when_log_fails_wait() {
     let flags = ["--when-log-fails", "wait", "--config-stale-ms", "60000"];
     let deployment = Deployment::start_with(Settings::default(), &flags, &[]).await;
     let entry = deployment.entries()[0];
     let caller = deployment.caller();
     caller.call(entry, &completion("v", 1, "before")).await;
-    deployment.fault_log(json!({ "outage": true })).await;
-    eventually("the outage in the entry's view", || async {
+    deployment.set_log_faults(json!({ "outage": true })).await;
+    eventually("`log_failing` in the entry's status", || async {
         deployment.fleet.status("e0").await.unwrap_or_default()["log_failing"] == true
     })
     .await;
@@ -139,7 +140,7 @@
         tokio::spawn(async move { caller.call(entry, &completion("v", 2, "during")).await })
     };
     tokio::task::yield_now().await;
-    deployment.fault_log(json!({ "outage": false })).await;
+    deployment.set_log_faults(json!({ "outage": false })).await;
     let answer = waiting.await.unwrap();
     assert!(answer.text().starts_with("seen=3 "), "{answer:?}");
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path over real processes.
+//! Calls through entries, endpoint processes and engines: histories, replayed answers, isolation of
+//! workspaces, takeover, and secrecy of keys.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,10 +12,10 @@
 const PROGRAMS: usize = 20;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn twenty_programs_keep_whole_answers_and_their_own_histories() {
+async fn concurrent_programs_get_complete_answers_from_their_own_histories() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
-    let runs = (0..PROGRAMS).map(|number| {
+    let tasks = (0..PROGRAMS).map(|number| {
         let (caller, entries) = (deployment.caller(), entries.clone());
         tokio::spawn(async move {
             let name = format!("p{number}");
@@ -24,21 +25,21 @@
                 let answer = caller.call(entry, &call).await;
                 let seen = format!("seen={} ", 2 * turn - 1);
                 assert!(answer.text().starts_with(&seen), "{name} turn {turn}: {answer:?}");
-                // The same call again, through the other entry: the same answer, not a new run.
+                // A retry through the other entry replays the answer instead of running the turn.
                 let other = entries[(number + turn as usize + 1) % 2];
                 assert_eq!(caller.call(other, &call).await, answer);
             }
         })
     });
-    for run in runs.collect::<Vec<_>>() {
-        run.await.unwrap();
+    for task in tasks.collect::<Vec<_>>() {
+        task.await.unwrap();
     }
 }
 
-/// The entry that owns programs is killed between two turns. Callers see nothing but a short
-/// delay: the other entry claims the shards, reads their streams and goes on with the history.
+/// An entry that owns programs is killed between two turns. The other entry claims its shards, reads
+/// their streams and continues the histories; callers only see a delay.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_program_goes_on_with_its_history_after_its_owner_was_killed() {
+async fn a_program_keeps_its_history_when_its_owner_is_killed() {
     let mut deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
@@ -47,8 +48,11 @@
         let answer = caller.call(entries[0], &completion(name, 1, "first")).await;
         assert!(answer.text().starts_with("seen=1 "), "{answer:?}");
     }
-    let owners = deployment.owners().await;
-    assert!(owners.iter().all(|(_, shards)| *shards > 0), "one entry owns all: {owners:?}");
+    let shard_counts = deployment.shard_counts().await;
+    assert!(
+        shard_counts.iter().all(|(_, shards)| *shards > 0),
+        "an entry owns no shard: {shard_counts:?}"
+    );
     deployment.fleet.entries.get_mut("e1").unwrap().kill();
     for name in &names {
         let answer = caller.insist(&entries[..1], &completion(name, 2, "second"), 5).await;
@@ -57,7 +61,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn turns_out_of_order_and_other_calls_under_one_number_are_refused_as_not_run() {
+async fn early_turns_and_different_calls_with_the_same_turn_number_are_refused() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
@@ -74,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_workspaces_with_one_program_name_never_meet() {
+async fn programs_with_the_same_name_in_two_workspaces_are_separate() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
     deployment.publish("gas", common::CONTRACT);
@@ -92,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_appear_in_nothing_that_a_run_emits() {
+async fn keys_appear_in_no_log_line_status_record_or_forwarded_header() {
     let deployment = Deployment::start().await;
     let entries = deployment.entries();
     let caller = deployment.caller();
@@ -113,7 +117,7 @@
         emitted.push(common::get(deployment.log.address, &path).await.to_string());
     }
     let all = emitted.join("\n");
-    assert!(all.contains("dispatching an attempt"), "nothing was emitted");
+    assert!(all.contains("dispatching an attempt"), "no attempt was logged");
     assert!(!all.contains(common::ICE_KEY) && !all.contains(wrong));
     let tools = common::get(deployment.tools.address, "/control").await;
     assert_eq!(tools["authorizations"], json!([]));
@@ -121,10 +125,10 @@
     assert_eq!(engine["authorizations"], json!(0));
 }
 
-/// An entry was killed and its shards were claimed by the other. When it is back, the other gives
-/// idle shards up to it, and programs go on through both.
+/// An entry is killed and the other claims its shards. When it is restarted, the other hands idle
+/// shards over to it, and the programs continue through both.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_comes_back_gets_its_part_of_the_shards() {
+async fn a_restarted_entry_gets_its_share_of_the_shards() {
     let mut deployment = Deployment::start().await;
     let caller = deployment.caller();
     deployment.fleet.entries.get_mut("e1").unwrap().kill();
@@ -137,10 +141,11 @@
     deployment.fleet.start_entry("e1", "b").unwrap();
     deployment.fleet.list().await;
     assert!(deployment.fleet.wait_ready().await);
-    common::eventually("a share of the shards", || async {
+    common::eventually("a balanced number of shards on both entries", || async {
         let call = completion("b0", 1, "first");
         caller.call(deployment.entries()[1], &call).await;
-        let owned = deployment.owners().await;
+        let owned = deployment.shard_counts().await;
+        // Of 8 shards, the default number.
         owned.iter().all(|(_, shards)| *shards <= 6)
     })
     .await;
